--- a/coralvale/adapter.py
+++ b/coralvale/adapter.py
@@ -35,12 +35,20 @@
     "X": api.ListKind.FAILED,
 }
 STATES = {
-    "healthy": api.ServerState.HEALTHY,
-    "cordoned": api.ServerState.DRAINING,
-    "deregistered": api.ServerState.GONE,
+    "healthy": api.HostState.HEALTHY,
+    "cordoned": api.HostState.DRAINING,
+    "deregistered": api.HostState.GONE,
+}
+REPEATS = {
+    "free": api.Idempotency.SAFE,
+    "guarded": api.Idempotency.KEYED,
+    "single_shot": api.Idempotency.UNSAFE,
+}
+REPORTS = {
+    "inline": api.LoadReportVia.ANSWERS,
+    "on_probe": api.LoadReportVia.PROBE,
+    "off": api.LoadReportVia.NONE,
 }
-REPEATS = {"free": api.Repeat.SAFE, "guarded": api.Repeat.KEYED, "single_shot": api.Repeat.UNSAFE}
-REPORTS = {"inline": api.ReportVia.ANSWERS, "on_probe": api.ReportVia.PROBE, "off": api.ReportVia.NONE}
 
 
 def split_fields(parts: Iterable[str]) -> Fields:
@@ -87,12 +95,12 @@
         classes.append(
             api.RequestClass(
                 name=get(at + "name", str, f"class {i}"),
-                aim=get(at + "aim_s", float),
-                give_up=get(at + "give_up_s", float),
+                latency_target=get(at + "aim_s", float),
+                timeout=get(at + "give_up_s", float),
                 worth=get(at + "worth", float),
-                repeat=get(at + "repeat", REPEATS.__getitem__),
-                group=get(at + "group", api.Group, api.Group.ALL),
-                key_window=get(at + "key_ttl_s", float, 0.0),
+                idempotency=get(at + "repeat", REPEATS.__getitem__),
+                dedup_scope=get(at + "group", api.DedupScope, api.DedupScope.ALL),
+                key_ttl=get(at + "key_ttl_s", float, 0.0),
                 streamed=get(at + "streaming", flag, False),
                 late_worth=get(at + "late_value", float, 0.0),
             )
@@ -121,31 +129,31 @@
         classes=tuple(classes),
         plans=tuple(plans),
         drain_grace=get("rules.stop_sending_within_s", float),
-        cold_share=get("rules.cold_from", float),
-        warm_after=get("rules.ramp_time_s", float),
-        fall_multiple=get("rules.fall_multiple", float),
-        fall_window=get("rules.overload_for_s", float),
+        cold_capacity=get("rules.cold_from", float),
+        warm_up_time=get("rules.ramp_time_s", float),
+        overload_multiple=get("rules.fall_multiple", float),
+        overload_window=get("rules.overload_for_s", float),
         answer_slack=get("rules.answer_slack_s", float, 0.0),
         max_attempts=get("ceilings.send_cap", whole),
-        second_copies=get("ceilings.second_copies", flag, False),
+        may_hedge=get("ceilings.second_copies", flag, False),
         may_cancel=get("ceilings.may_cancel", flag, False),
         may_probe=get("ceilings.may_probe", flag, False),
         may_count=get("family_info.may_count", flag, False),
         counter_timeout=get("family_info.count_wait_s", float, 0.0),
         meter_period=get("family_info.use_period_s", float, 0.0),
-        settles_after=get("family_info.post_paid", flag, False),
-        ask_for_list=get("registry_mode", {"pushed": False, "on_request": True}.__getitem__, False),
+        post_paid=get("family_info.post_paid", flag, False),
+        list_on_request=get("registry_mode", {"pushed": False, "on_request": True}.__getitem__, False),
         ask_within=get("rules.ask_within_s", float, 0.0),
-        report_via=get("load_info.via", REPORTS.__getitem__, api.ReportVia.NONE),
-        report_fields=get("load_info.columns", words, ()),
-        advice=get("ceilings.retry_after", flag, False),
-        max_advice=get("ceilings.max_retry_after_s", float, 0.0),
-        most_units=get("family_info.most_units", float, math.inf),
+        load_report_via=get("load_info.via", REPORTS.__getitem__, api.LoadReportVia.NONE),
+        load_report_fields=get("load_info.columns", words, ()),
+        retry_after_allowed=get("ceilings.retry_after", flag, False),
+        max_retry_after=get("ceilings.max_retry_after_s", float, 0.0),
+        max_units=get("family_info.most_units", float, math.inf),
     )
 
 
-def read_server(f: Fields) -> api.Server:
-    return api.Server(
+def read_server(f: Fields) -> api.HostInfo:
+    return api.HostInfo(
         id=f["host"],
         state=STATES[f["health"]],
         scale=float(f.get("scale", "1")),
@@ -163,8 +171,8 @@
 def read_request(f: Fields) -> api.Request:
     return api.Request(
         id=f["tid"],
-        cls=int(f["band"]),
-        plan=int(f["tariff"]),
+        class_index=int(f["band"]),
+        plan_index=int(f["tariff"]),
         customer=int(f["member"]),
         entry_gateways=int(f.get("n_entries", "1")),
         expires_at=float(f["expires_s"]),
@@ -179,10 +187,10 @@
         attempt=int(f["n"]),
         outcome=OUTCOMES[f["outcome"]],
         delay=float(f["delay_seen_s"]),
-        finished=f.get("over", "0") == "1",
+        request_done=f.get("over", "0") == "1",
         usage=(usage - 1) / 100 if usage else None,
         units=units or None,
-        report=read_report(f),
+        load_report=read_report(f),
     )
 
 
@@ -190,7 +198,7 @@
     "INGRESS": read_request,
     "FIRST": lambda f: api.StreamStarted(f["tid"], int(f["n"]), float(f["delay_seen_s"])),
     "DONE": read_done,
-    "GONE": lambda f: api.Abandoned(f["tid"]),
+    "GONE": lambda f: api.RequestAbandoned(f["tid"]),
     "TIMEOUT_FIRED": lambda f: api.TimerFired(int(f["mark"])),
     "PROBE_DONE": lambda f: api.ProbeDone(
         f["host"], OUTCOMES[f["outcome"]], float(f["delay_seen_s"]), read_report(f)
@@ -201,13 +209,15 @@
 }
 
 WRITERS: dict[type, Callable[[Any], str]] = {
-    api.Send: lambda a: f"HAND_OFF\ttid={a.request}\thost={a.server}\tuntil_s={a.until:.6f}",
+    api.Send: lambda a: f"HAND_OFF\ttid={a.request}\thost={a.host}\tuntil_s={a.deadline:.6f}",
     api.Cancel: lambda a: f"ABORT_ATTEMPT\ttid={a.request}\tn={a.attempt}",
-    api.Refuse: lambda a: f"OVERLOAD_REPLY\ttid={a.request}\tcool_down_s={a.advice:.6f}",
+    api.Refuse: lambda a: f"OVERLOAD_REPLY\ttid={a.request}\tcool_down_s={a.retry_after:.6f}",
     api.Fail: lambda a: f"SURRENDER\ttid={a.request}",
     api.SetTimer: lambda a: f"WAKE_AT\tmark={a.token}\tsleep_for_s={a.delay:.6f}",
-    api.Probe: lambda a: f"PROBE\thost={a.server}",
-    api.Count: lambda a: f"POST_AMOUNT\tentry_name={a.name}\tby={a.amount:.6f}\tlives_s={a.lifetime:.6f}",
+    api.Probe: lambda a: f"PROBE\thost={a.host}",
+    api.CounterAdd: lambda a: (
+        f"POST_AMOUNT\tentry_name={a.name}\tby={a.amount:.6f}\tlives_s={a.lifetime:.6f}"
+    ),
     api.FollowList: lambda a: "TRACK\tactive=1",
     api.FetchList: lambda a: "FETCH",
     api.Log: lambda a: f"PRINT\tmessage={a.text}",
@@ -219,7 +229,7 @@
 
     def __init__(self) -> None:
         self.gateways: dict[int, Gateway] = {}
-        self.lists: dict[int, tuple[api.Server, ...]] = {}
+        self.lists: dict[int, tuple[api.HostInfo, ...]] = {}
 
     def run(self, source: Iterable[str], sink: TextIO) -> None:
         lines = iter(source)
@@ -289,7 +299,7 @@
             f = split_fields(parts)
             kind = LIST_KINDS[f["how"]]
             servers = () if kind is api.ListKind.FAILED else self.lists[int(f["list"])]
-            event: api.Event = api.ServerList(kind, servers)
+            event: api.Event = api.HostList(kind, servers)
         elif word in READERS:
             event = READERS[word](split_fields(parts))
         elif word == "MAIL":
--- a/coralvale/admission.py
+++ b/coralvale/admission.py
@@ -34,7 +34,7 @@
 
     def restrictor(self, now: float, request: api.Request) -> Restrictor:
         """The restrictor of the request's customer, up to date with the time and with what it names."""
-        plan, restrictor = self.settings.plans[request.plan], self.restrictors.get(request.customer)
+        plan, restrictor = self.settings.plans[request.plan_index], self.restrictors.get(request.customer)
         if restrictor is None:
             restrictor = Restrictor(plan, request.entry_gateways, now, self.born, self.settings.may_count)
             self.restrictors[request.customer] = restrictor
@@ -45,7 +45,7 @@
 
     def _follow(self, now: float, request: api.Request, restrictor: Restrictor) -> None:
         """Brings a restrictor up to date with the time, the plan and the set that a request names."""
-        plan = self.settings.plans[request.plan]
+        plan = self.settings.plans[request.plan_index]
         restrictor.drain(now)
         if restrictor.plan is not plan or restrictor.entries != request.entry_gateways:
             restrictor.settle(plan, request.entry_gateways)
@@ -59,7 +59,7 @@
         if not may_count or not restrictor.sparse(request.units, self.settings.meter_period > 0):
             return self._own_bucket(now, reservation)
         if now < restrictor.blocked_until:
-            return Refused(request, Reason.QUOTA_COUNTED, restrictor.blocked_until - now)
+            return Refused(request, Reason.SHARED_QUOTA, restrictor.blocked_until - now)
         if not self.shared.covers(now, request, restrictor):
             return self._own_bucket(now, reservation)
         if calls := self.shared.call(now, reservation):
@@ -82,7 +82,7 @@
         if not wait:
             return Admitted(reservation, tuple(calls))
         restrictor.blocked_until = min(now + max(wait, self.shared.backoff(call)), call.bucket.ends)
-        return Refused(request, Reason.QUOTA_COUNTED, wait, tuple(calls))
+        return Refused(request, Reason.SHARED_QUOTA, wait, tuple(calls))
 
     def over_ceiling(self, now: float, reservation: Reservation) -> Refused | Pending | None:
         """What keeps back a request within its quota: this gateway's part of the ceiling, then the pool."""
@@ -113,9 +113,9 @@
 
     def _learn_units(self, request: api.Request) -> None:
         """Takes a request into the mean units of its plan, a plain mean until enough have come."""
-        self.seen[request.plan] += 1
-        weight = max(UNITS_WEIGHT, 1 / self.seen[request.plan])
-        self.mean_units[request.plan] += weight * (request.units - self.mean_units[request.plan])
+        self.seen[request.plan_index] += 1
+        weight = max(UNITS_WEIGHT, 1 / self.seen[request.plan_index])
+        self.mean_units[request.plan_index] += weight * (request.units - self.mean_units[request.plan_index])
 
     def _own_bucket(self, now: float, reservation: Reservation, sampled: bool = False) -> Decision:
         """Decides by the own bucket; `sampled`: another request, that is asked about, stands for this one."""
@@ -139,7 +139,9 @@
         plan = restrictor.plan
         if not restrictor.sparse(request.units, self.settings.meter_period > 0):
             return 1.0
-        borne = max(plan.burst / (1 + RISK_AVERSION * plan.net_excess_cost), self.mean_units[request.plan])
+        borne = max(
+            plan.burst / (1 + RISK_AVERSION * plan.net_excess_cost), self.mean_units[request.plan_index]
+        )
         return min(1.0, borne / request.units) ** STEEPNESS
 
     def _pool_reply(
--- a/coralvale/health.py
+++ b/coralvale/health.py
@@ -16,7 +16,7 @@
 class Host:
     """What this gateway knows of one server; all of it is computed from `now` when it is used."""
 
-    def __init__(self, info: api.Server, now: float) -> None:
+    def __init__(self, info: api.HostInfo, now: float) -> None:
         self.info, self.scale = info, max(info.scale, 0.01)
         self.place = zlib.crc32(info.id.encode())  # on the ring that all gateways see alike
         self.out: dict[tuple[str, int], float] = {}  # attempts out, oldest first
@@ -27,10 +27,10 @@
 
     def warmth(self, settings: api.Settings, now: float) -> float:
         """Share of its full capacity that a server surely has: never slower than evenly over the ramp."""
-        if not self.info.started_at or not settings.warm_after:
+        if not self.info.started_at or not settings.warm_up_time:
             return 1.0
-        age = max(0.0, now - self.info.started_at) / settings.warm_after
-        return min(1.0, settings.cold_share + (1 - settings.cold_share) * age)
+        age = max(0.0, now - self.info.started_at) / settings.warm_up_time
+        return min(1.0, settings.cold_capacity + (1 - settings.cold_capacity) * age)
 
     def waiting(self, now: float, usual: float) -> list[float]:
         """When the attempts out were sent, but for lost ones: long overdue, and later ones were answered."""
--- a/coralvale/interface.py
+++ b/coralvale/interface.py
@@ -15,7 +15,7 @@
     """A setting is missing or makes no sense; the message names it."""
 
 
-class Repeat(Enum):
+class Idempotency(Enum):
     """Whether a request of a class may run more than once."""
 
     SAFE = "safe"
@@ -23,7 +23,7 @@
     UNSAFE = "unsafe"
 
 
-class Group(Enum):
+class DedupScope(Enum):
     """Which servers drop repeats of a keyed request among themselves."""
 
     ALL = "all"
@@ -31,7 +31,7 @@
     CELL = "cell"
 
 
-class ServerState(Enum):
+class HostState(Enum):
     HEALTHY = "healthy"
     DRAINING = "draining"
     GONE = "gone"
@@ -57,7 +57,7 @@
     NOT_SENT = "not_sent"
 
 
-class ReportVia(Enum):
+class LoadReportVia(Enum):
     ANSWERS = "answers"
     PROBE = "probe"
     NONE = "none"
@@ -66,12 +66,12 @@
 @dataclass(frozen=True, slots=True)
 class RequestClass:
     name: str
-    aim: float
-    give_up: float
+    latency_target: float
+    timeout: float
     worth: float
-    repeat: Repeat
-    group: Group = Group.ALL
-    key_window: float = 0.0
+    idempotency: Idempotency
+    dedup_scope: DedupScope = DedupScope.ALL
+    key_ttl: float = 0.0
     streamed: bool = False
     late_worth: float = 0.0
 
@@ -104,45 +104,47 @@
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
     drain_grace: float
-    cold_share: float
-    warm_after: float
-    fall_multiple: float
-    fall_window: float
+    cold_capacity: float
+    warm_up_time: float
+    overload_multiple: float
+    overload_window: float
     max_attempts: int
     answer_slack: float = 0.0
-    second_copies: bool = False
+    may_hedge: bool = False
     may_cancel: bool = False
     may_probe: bool = False
     may_count: bool = False
     counter_timeout: float = 0.0
     meter_period: float = 0.0
-    settles_after: bool = False
-    ask_for_list: bool = False
+    post_paid: bool = False
+    list_on_request: bool = False
     ask_within: float = 0.0
-    report_via: ReportVia = ReportVia.NONE
-    report_fields: tuple[str, ...] = ()
-    advice: bool = True
-    max_advice: float = 0.0
-    most_units: float = math.inf  # that one request may take
+    load_report_via: LoadReportVia = LoadReportVia.NONE
+    load_report_fields: tuple[str, ...] = ()
+    retry_after_allowed: bool = True
+    max_retry_after: float = 0.0
+    max_units: float = math.inf  # that one request may take
     index: int = 0  # this gateway's number among them
 
     def __post_init__(self) -> None:
         _require("gateways", self.gateways, 1)
         _require("max_attempts", self.max_attempts, 1)
         _require("index", self.index, 0)
-        _require("cold_share", self.cold_share, 0.0, 1.0)
-        for name in ("drain_grace", "warm_after", "fall_multiple", "fall_window", "answer_slack"):
+        _require("cold_capacity", self.cold_capacity, 0.0, 1.0)
+        for name in ("drain_grace", "warm_up_time", "overload_multiple", "overload_window", "answer_slack"):
             _require(name, getattr(self, name), 0.0)
-        for name in ("counter_timeout", "meter_period", "ask_within", "max_advice"):
+        for name in ("counter_timeout", "meter_period", "ask_within", "max_retry_after"):
             _require(name, getattr(self, name), 0.0)
         if not self.classes:
             raise SettingsError("classes: at least one is needed")
         if not self.plans:
             raise SettingsError("plans: at least one is needed")
         for i, c in enumerate(self.classes):
-            if c.aim <= 0 or c.aim > c.give_up:
-                raise SettingsError(f"classes[{i}].aim: {c.aim} is not within 0 and give_up {c.give_up}")
-            for name in ("aim", "give_up", "worth", "key_window", "late_worth"):
+            if c.latency_target <= 0 or c.latency_target > c.timeout:
+                raise SettingsError(
+                    f"classes[{i}].latency_target: {c.latency_target} is not within 0 and timeout {c.timeout}"
+                )
+            for name in ("latency_target", "timeout", "worth", "key_ttl", "late_worth"):
                 _require(f"classes[{i}].{name}", getattr(c, name), 0.0)
         for i, p in enumerate(self.plans):
             for name in ("rate", "burst", "open_limit", "price", "excess_worth", "excess_cost"):
@@ -155,13 +157,16 @@
                 raise SettingsError(f"plans[{i}].ceiling_burst: a ceiling needs a burst above 0")
 
     @property
-    def longest_advice(self) -> float:
+    def retry_after_limit(self) -> float:
         """The longest `Retry-After` in seconds, nought where none may be said."""
-        return self.max_advice if self.advice else 0.0
+        return self.max_retry_after if self.retry_after_allowed else 0.0
 
     def check(self, request: Request) -> None:
         """Refuses a request of a class or plan that these settings do not know, by an error that names it."""
-        for kind, value, known in (("class", request.cls, self.classes), ("plan", request.plan, self.plans)):
+        for kind, value, known in (
+            ("class", request.class_index, self.classes),
+            ("plan", request.plan_index, self.plans),
+        ):
             if not 0 <= value < len(known):
                 raise ValueError(f"request {request.id}: unknown {kind} {value}")
 
@@ -175,9 +180,9 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Server:
+class HostInfo:
     id: str
-    state: ServerState
+    state: HostState
     scale: float = 1.0
     zone: int = 0
     cell: int = 0
@@ -186,16 +191,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServerList:
+class HostList:
     kind: ListKind
-    servers: tuple[Server, ...] = ()
+    hosts: tuple[HostInfo, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
     id: str
-    cls: int
-    plan: int
+    class_index: int
+    plan_index: int
     customer: int
     entry_gateways: int
     expires_at: float
@@ -221,15 +226,15 @@
     attempt: int
     outcome: Outcome
     delay: float
-    finished: bool
+    request_done: bool
     usage: float | None = None
     units: float | None = None
-    report: tuple[float, ...] = ()
-    broke: bool = False
+    load_report: tuple[float, ...] = ()
+    connection_broken: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Abandoned:
+class RequestAbandoned:
     request: str
 
 
@@ -240,10 +245,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeDone:
-    server: str
+    host: str
     outcome: Outcome
     delay: float
-    report: tuple[float, ...] = ()
+    load_report: tuple[float, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -254,7 +259,16 @@
     maybe_added: bool = False
 
 
-Event = ServerList | Request | StreamStarted | AttemptDone | Abandoned | TimerFired | ProbeDone | CounterReply
+Event = (
+    HostList
+    | Request
+    | StreamStarted
+    | AttemptDone
+    | RequestAbandoned
+    | TimerFired
+    | ProbeDone
+    | CounterReply
+)
 
 
 # Actions
@@ -263,8 +277,8 @@
 @dataclass(frozen=True, slots=True)
 class Send:
     request: str
-    server: str
-    until: float
+    host: str
+    deadline: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -276,7 +290,7 @@
 @dataclass(frozen=True, slots=True)
 class Refuse:
     request: str
-    advice: float = 0.0
+    retry_after: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -292,11 +306,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    server: str
+    host: str
 
 
 @dataclass(frozen=True, slots=True)
-class Count:
+class CounterAdd:
     name: int
     amount: float
     lifetime: float
@@ -317,4 +331,4 @@
     text: str
 
 
-Action = Send | Cancel | Refuse | Fail | SetTimer | Probe | Count | FollowList | FetchList | Log
+Action = Send | Cancel | Refuse | Fail | SetTimer | Probe | CounterAdd | FollowList | FetchList | Log
--- a/coralvale/logic.py
+++ b/coralvale/logic.py
@@ -12,17 +12,17 @@
 from coralvale import interface as api
 from coralvale.admission import Admission
 from coralvale.health import LOST, NEWS, SILENCE, Host
-from coralvale.interface import Outcome, Repeat
+from coralvale.interface import Idempotency, Outcome
 from coralvale.restrictor import QUIET, STEP, Restrictor
 from coralvale.state import (
     QUOTA_REASONS,
     Admitted,
     Attempt,
     Decision,
-    Pace,
+    EventRate,
     PendingRequest,
     Reason,
-    Refusals,
+    RefusalLog,
     Refused,
 )
 
@@ -57,20 +57,22 @@
         self.sort_at = -math.inf  # when a cold server becomes warm
         self.busy: dict[Host, None] = {}  # servers with attempts out
         self.requests: dict[str, PendingRequest] = {}
-        self.usual = [c.aim / 5 for c in settings.classes]  # delay of a class, learned from answers
+        self.usual = [
+            c.latency_target / 5 for c in settings.classes
+        ]  # delay of a class, learned from answers
         self.calm = list(self.usual)  # the lowest that the usual delay has lately been
         self.mean = sum(self.usual) / len(self.usual)
-        self.done = Pace(MEMORY)
+        self.done = EventRate(MEMORY)
         self.retries = 1.0
         self.admission = Admission(settings, self.random)
         self.step_at, self.ask_at = 0.0, 0.0
-        self.refused, self.actions = Refusals(every=10.0), list[api.Action]()
+        self.refused, self.actions = RefusalLog(interval=10.0), list[api.Action]()
         self.answers: dict[type, Any] = {
-            api.ServerList: self._list,
+            api.HostList: self._list,
             api.Request: self._arrive,
             api.AttemptDone: self._answer,
             api.StreamStarted: self._leave,
-            api.Abandoned: self._leave,
+            api.RequestAbandoned: self._leave,
             api.TimerFired: self._tick,
             api.CounterReply: self._counted,
         }
@@ -80,7 +82,7 @@
         if self.admission.born is None:
             self.admission.born, self.step_at = now, now + STEP * self.random.random()
             self.actions.append(api.SetTimer(0, TICK))
-            if self.settings.ask_for_list:
+            if self.settings.list_on_request:
                 self.actions.append(api.FollowList())
         if answer := self.answers.get(type(event)):
             answer(now, event)
@@ -120,7 +122,7 @@
         self._sort(now)
         if (host := self._pick_cold(now) or self._pick(now)) is None:
             reservation.release()
-            return self._refuse(Refused(request, Reason.NO_SERVER, STEP))
+            return self._refuse(Refused(request, Reason.NO_HOST, STEP))
         reservation.charge()
         self.retries = min(1 + RETRY_SAVED * self.done.rate(now), self.retries + RETRY_SHARE)
         self.requests[request.id] = pending = PendingRequest(request, now, reservation)
@@ -128,13 +130,13 @@
 
     def _guard(self, now: float, request: api.Request, restrictor: Restrictor) -> Refused | None:
         """Why a request that is within its quota is refused all the same, and for how long."""
-        usual = self.usual[request.cls]
+        usual = self.usual[request.class_index]
         if restrictor.open_full():
             return Refused(request, Reason.OPEN_LIMIT, usual)
         if request.expires_at - now < usual / 2:  # an answer would hardly come in time
             return Refused(request, Reason.TOO_LATE, usual)
         if wait := self._pressed(now, request):
-            return Refused(request, Reason.PRESSED, wait)
+            return Refused(request, Reason.OVERLOAD, wait)
         return None
 
     def _pressed(self, now: float, request: api.Request) -> float:
@@ -142,8 +144,11 @@
 
         Nought while less is out than the fleet carries without a queue: refusing does not help then.
         """
-        usual, aim = self.usual[request.cls], self.settings.classes[request.cls].aim
-        most = min(PRESSED * min(aim, request.expires_at - now), CROWD * self.calm[request.cls])
+        usual, aim = (
+            self.usual[request.class_index],
+            self.settings.classes[request.class_index].latency_target,
+        )
+        most = min(PRESSED * min(aim, request.expires_at - now), CROWD * self.calm[request.class_index])
         counts = {h: len(h.waiting(now, self.mean)) for h in self.busy}
         well = [
             n for h, n in counts.items()
@@ -161,14 +166,14 @@
 
     # Servers and their health
 
-    def _list(self, now: float, event: api.ServerList) -> None:
+    def _list(self, now: float, event: api.HostList) -> None:
         if event.kind is api.ListKind.FAILED:
             self.ask_at = now + STEP * (0.5 + self.random.random())
             return
         hosts = self.hosts if event.kind is api.ListKind.CHANGES else {}
-        for info in event.servers:
+        for info in event.hosts:
             host = self.hosts.get(info.id)
-            if info.state is api.ServerState.GONE:
+            if info.state is api.HostState.GONE:
                 hosts.pop(info.id, None)
                 continue
             if host is None or host.info.started_at != info.started_at:
@@ -179,10 +184,10 @@
     def _sort(self, now: float) -> None:
         """Parts warm servers from cold ones when the list has changed or a cold one has become warm."""
         if now >= self.sort_at:
-            well = [h for h in self.hosts.values() if h.info.state is api.ServerState.HEALTHY]
+            well = [h for h in self.hosts.values() if h.info.state is api.HostState.HEALTHY]
             self.warm = [h for h in well if h.warmth(self.settings, now) >= 1]
             self.cold = [h for h in well if h.warmth(self.settings, now) < 1]
-            ends = [h.info.started_at + self.settings.warm_after for h in self.cold]
+            ends = [h.info.started_at + self.settings.warm_up_time for h in self.cold]
             self.sort_at = min(ends, default=math.inf)
             self._settle()
 
@@ -208,7 +213,7 @@
         # short queue or saved credit counts, so hundreds of gateways add up to that share and no more.
         shares = [h.scale * h.warmth(self.settings, now) for h in self.few]
         near = sum(h.scale for h in self.near)
-        most = (near + sum(h.scale for h in self.few)) / max(1.0, HASTE * self.settings.fall_multiple)
+        most = (near + sum(h.scale for h in self.few)) / max(1.0, HASTE * self.settings.overload_multiple)
         lot = self.random.random() * max(most, near + sum(shares))
         for host, share in zip(self.few, shares, strict=True):
             if (lot := lot - share) < 0:
@@ -237,23 +242,23 @@
     def _may_go(self, now: float, pending: PendingRequest, host: Host) -> bool:
         """Whether a further attempt may go to this server: never to one tried, and within the key's group."""
         tried = any(a.host.info.id == host.info.id for a in pending.attempts)
-        first, cls = pending.may_have_run, self.settings.classes[pending.request.cls]
-        if tried or first is None or cls.repeat is Repeat.SAFE:
+        first, cls = pending.may_have_run, self.settings.classes[pending.request.class_index]
+        if tried or first is None or cls.idempotency is Idempotency.SAFE:
             return not tried
-        if cls.repeat is Repeat.UNSAFE or now >= first.sent_at + cls.key_window:
+        if cls.idempotency is Idempotency.UNSAFE or now >= first.sent_at + cls.key_ttl:
             return False
-        if cls.group is api.Group.ZONE:
+        if cls.dedup_scope is api.DedupScope.ZONE:
             return host.info.zone == first.host.info.zone
-        return cls.group is api.Group.ALL or host.info.cell == first.host.info.cell
+        return cls.dedup_scope is api.DedupScope.ALL or host.info.cell == first.host.info.cell
 
     # Attempts and answers
 
     def _refuse(self, refused: Refused) -> None:
-        self.refused.note(refused.reason)
-        wait, cls = refused.wait, self.settings.classes[refused.request.cls]
+        self.refused.count(refused.reason)
+        wait, cls = refused.wait, self.settings.classes[refused.request.class_index]
         if refused.reason in QUOTA_REASONS:  # another of the customer's gateways may have room, and in time
-            wait = min(wait, cls.aim * SOON)
-        advice = min(wait, self.settings.longest_advice)
+            wait = min(wait, cls.latency_target * SOON)
+        advice = min(wait, self.settings.retry_after_limit)
         self.actions.append(api.Refuse(refused.request.id, advice))
 
     def _send(self, now: float, pending: PendingRequest, host: Host) -> None:
@@ -265,20 +270,25 @@
 
     def _until(self, now: float, pending: PendingRequest) -> float:
         """How long the newest attempt may take: a late one leaves time for another, if there may be one."""
-        cls, usual = self.settings.classes[pending.request.cls], self.usual[pending.request.cls]
-        last = min(pending.request.expires_at, pending.arrived + cls.aim) - max(ROOM * usual, LATE)
-        again = cls.repeat is Repeat.SAFE and not cls.late_worth
+        cls, usual = (
+            self.settings.classes[pending.request.class_index],
+            self.usual[pending.request.class_index],
+        )
+        last = min(pending.request.expires_at, pending.arrived_at + cls.latency_target) - max(
+            ROOM * usual, LATE
+        )
+        again = cls.idempotency is Idempotency.SAFE and not cls.late_worth
         again = again and len(pending.attempts) < self.settings.max_attempts and last - now >= PATIENT * usual
         return last if again else pending.request.expires_at
 
     def _close(self, name: str, pending: PendingRequest) -> None:
-        pending.live = False
+        pending.is_open = False
         if all(a.done for a in pending.attempts):
             self.requests.pop(name, None)
-            if not pending.sent:  # the client left first, or its time was up: it has taken nothing
+            if not pending.was_sent:  # the client left first, or its time was up: it has taken nothing
                 pending.reservation.release()
 
-    def _leave(self, now: float, event: api.Abandoned | api.StreamStarted) -> None:
+    def _leave(self, now: float, event: api.RequestAbandoned | api.StreamStarted) -> None:
         self.admission.leave(event.request)
         if pending := self.requests.get(event.request):
             self._close(event.request, pending)
@@ -297,14 +307,14 @@
         if not attempt.host.out:
             self.busy.pop(attempt.host, None)
         restrictor.open -= 1
-        pending.sent = pending.sent or event.outcome is not Outcome.NOT_SENT
+        pending.was_sent = pending.was_sent or event.outcome is not Outcome.NOT_SENT
         if event.usage is not None and 0 <= event.usage < math.inf:
             restrictor.hear(now, event.usage)
-        plausible = 0 < (event.units or 0) <= self.settings.most_units and event.units < math.inf
-        if self.settings.settles_after and plausible:  # corrects the guess
+        plausible = 0 < (event.units or 0) <= self.settings.max_units and event.units < math.inf
+        if self.settings.post_paid and plausible:  # corrects the guess
             pending.reservation.correct(event.units)
-        self._learn(now, pending.request.cls, attempt.host, event)
-        if event.finished or not pending.live:
+        self._learn(now, pending.request.class_index, attempt.host, event)
+        if event.request_done or not pending.is_open:
             return self._close(event.request, pending)
         if event.outcome not in NOT_RUN and pending.may_have_run is None:
             pending.may_have_run = attempt
@@ -313,24 +323,28 @@
             # No connection costs a server nothing; other failures must not double the load.
             self.retries -= event.outcome is not Outcome.CONNECT_FAILED
             return self._send(now, pending, host)
-        cls = self.settings.classes[pending.request.cls]
-        harmless = cls.repeat is Repeat.SAFE or (cls.repeat is Repeat.KEYED and cls.group is api.Group.ALL)
+        cls = self.settings.classes[pending.request.class_index]
+        harmless = cls.idempotency is Idempotency.SAFE or (
+            cls.idempotency is Idempotency.KEYED and cls.dedup_scope is api.DedupScope.ALL
+        )
         if harmless or pending.may_have_run is None:
-            self._refuse(Refused(pending.request, Reason.ATTEMPTS_USED_UP, self.usual[pending.request.cls]))
+            self._refuse(
+                Refused(pending.request, Reason.ATTEMPTS_USED_UP, self.usual[pending.request.class_index])
+            )
         else:
             self.actions.append(api.Fail(event.request))
         self._close(event.request, pending)
 
     def _worth_another(self, now: float, pending: PendingRequest, outcome: Outcome) -> bool:
-        cls, end = self.settings.classes[pending.request.cls], pending.request.expires_at
-        end = end if cls.late_worth else min(end, pending.arrived + cls.aim)
-        in_time = now + self.usual[pending.request.cls] / 2 < end
+        cls, end = self.settings.classes[pending.request.class_index], pending.request.expires_at
+        end = end if cls.late_worth else min(end, pending.arrived_at + cls.latency_target)
+        in_time = now + self.usual[pending.request.class_index] / 2 < end
         paid = self.retries >= 1 or outcome is Outcome.CONNECT_FAILED
         return in_time and paid and len(pending.attempts) < self.settings.max_attempts
 
     def _learn(self, now: float, cls: int, host: Host, event: api.AttemptDone) -> None:
         if event.outcome is Outcome.OK:
-            self.done.note(now)
+            self.done.record(now)
             # What is seldom heard of a server counts for more: one that grows slower is left before it dies.
             weight, host.slow = max(0.1, 1 - 0.5 ** ((now - host.heard_at) / NEWS)), host.slowness(now)
             host.slow += weight * (event.delay / self.usual[cls] - host.slow)
@@ -341,11 +355,11 @@
         elif event.outcome is Outcome.TIMEOUT:  # the delay is at least this; hung servers must not tell much
             self.usual[cls] += MEMORY * min(max(0.0, event.delay - self.usual[cls]), self.usual[cls])
             # Else only the patience was short, or, where others were answered since, the connection was bad.
-            patient = event.delay >= min(self.settings.classes[cls].aim, LOST * self.usual[cls])
+            patient = event.delay >= min(self.settings.classes[cls].latency_target, LOST * self.usual[cls])
             if patient and host.heard_at < now - event.delay:
                 host.failed(now, FAIL_PAUSE)
         elif event.outcome not in (Outcome.CANCELLED, Outcome.NOT_SENT):
-            if event.broke:
+            if event.connection_broken:
                 host.broke(now, FAIL_PAUSE)
             elif event.outcome in (Outcome.FULL, Outcome.ERROR):
                 host.answered(now)
@@ -353,7 +367,7 @@
             else:
                 host.failed(now, FAIL_PAUSE)
         self.mean = sum(self.usual) / len(self.usual)
-        told = zip(self.settings.report_fields, event.report, strict=False)
+        told = zip(self.settings.load_report_fields, event.load_report, strict=False)
         if loads := [v for name, v in told if name in ("inflight", "queue") and math.isfinite(v)]:
             host.reported, host.reported_at = max(loads), now
 
@@ -363,7 +377,7 @@
         self.actions += [api.SetTimer(0, TICK), *self.refused.lines(now)]
         if self.ask_at and now >= self.ask_at:
             self.ask_at = 0.0
-            self.actions.append(api.FollowList() if self.settings.ask_for_list else api.FetchList())
+            self.actions.append(api.FollowList() if self.settings.list_on_request else api.FetchList())
         self.calm = [c * (1 + 0.01 * TICK) for c in self.calm]
         for reply in self.admission.overdue(now):
             self._counted(now, reply)
--- a/coralvale/net/discovery.py
+++ b/coralvale/net/discovery.py
@@ -38,9 +38,9 @@
 EMPTY_LINE = re.compile(r"\n[ \t\r]*\n")
 DECODER = json.JSONDecoder()
 STATES = {
-    "active": api.ServerState.HEALTHY,
-    "leaving": api.ServerState.DRAINING,
-    "left": api.ServerState.GONE,
+    "active": api.HostState.HEALTHY,
+    "leaving": api.HostState.DRAINING,
+    "left": api.HostState.GONE,
 }
 
 
@@ -48,7 +48,7 @@
 class Endpoint:
     """A listed host: what the module knows of it, and its address here."""
 
-    server: api.Server
+    server: api.HostInfo
     address: Address
 
     @property
@@ -57,7 +57,7 @@
 
     @property
     def leaving(self) -> bool:
-        return self.server.state is api.ServerState.DRAINING
+        return self.server.state is api.HostState.DRAINING
 
 
 class Discovery:
@@ -68,7 +68,7 @@
         address: Address,
         zones: tuple[str, ...],
         kinds: tuple[str, ...],
-        on_change: Callable[[api.ListKind, tuple[api.Server, ...], list[Place]], None],
+        on_change: Callable[[api.ListKind, tuple[api.HostInfo, ...], list[Place]], None],
         silent: float = SILENT,
         callers: int = 0,
         grace: float = math.inf,
@@ -110,7 +110,7 @@
         if not isinstance(entries, list):
             raise ValueError("endpoints: no list")
         full = bool(message.get("snapshot")) or cached
-        changed: list[api.Server] = []
+        changed: list[api.HostInfo] = []
         before, listed = self.endpoints, {} if full else dict(self.endpoints)
         for entry in entries:
             try:
@@ -123,7 +123,7 @@
                 endpoint = known  # one bad field must not take a host from the list
             name = endpoint.server.id
             changed.append(endpoint.server)
-            if endpoint.server.state is api.ServerState.GONE:
+            if endpoint.server.state is api.HostState.GONE:
                 listed.pop(name, None)
                 continue
             listed[name] = endpoint
@@ -144,11 +144,11 @@
 
     def _read(self, entry: dict[str, Any]) -> Endpoint:
         state = STATES[entry["status"]]
-        gone = state is api.ServerState.GONE
+        gone = state is api.HostState.GONE
         weight, since = float(entry.get("weight", 1.0)), float(entry.get("since_ms") or 0)
         if not (math.isfinite(weight) and math.isfinite(since)):
             raise ValueError("weight or since_ms: no finite number")
-        server = api.Server(
+        server = api.HostInfo(
             id=str(entry["name"]),
             state=state,
             scale=weight,
--- a/coralvale/net/node.py
+++ b/coralvale/net/node.py
@@ -96,14 +96,14 @@
         surplus = share // 8
         self.server = Server(config.listen, config.settings, self, share - surplus, surplus)
         self.upstreams = Upstreams(
-            self.clock, config.connect_timeout, config.conn_idle, share, config.settings.report_fields
+            self.clock, config.connect_timeout, config.conn_idle, share, config.settings.load_report_fields
         )
         self.discovery = Discovery(
             config.discovery,
             config.zones,
             config.kinds,
             self._listed,
-            callers=config.settings.gateways if config.settings.ask_for_list else 0,
+            callers=config.settings.gateways if config.settings.list_on_request else 0,
             grace=config.settings.drain_grace,
             told_within=TOLD,
         )
@@ -115,7 +115,7 @@
             api.Fail: self._fail,
             api.SetTimer: self._set_timer,
             api.Probe: self._probe,
-            api.Count: self._count,
+            api.CounterAdd: self._count,
             api.FollowList: lambda _: self.discovery.follow(),
             api.FetchList: lambda _: self.discovery.refresh(),
             api.Log: lambda action: log.info("%s", action.text),
@@ -202,11 +202,14 @@
         """The answer that nobody decided: a refusal only if trying again does no harm, else a failure."""
         if held is None or held.answered:
             return
-        if held.may_have_run and self.settings.classes[held.arrival.cls].repeat is not api.Repeat.SAFE:
+        if (
+            held.may_have_run
+            and self.settings.classes[held.arrival.cls].idempotency is not api.Idempotency.SAFE
+        ):
             self._finish(held, 504 if held.timed_out else 502)
         else:
-            self._finish(held, 503, retry_after=self.settings.longest_advice)
-        self.feed(api.Abandoned(held.arrival.id))
+            self._finish(held, 503, retry_after=self.settings.retry_after_limit)
+        self.feed(api.RequestAbandoned(held.arrival.id))
 
     def _finish(self, held: PendingRequest, status: int, **answer: Any) -> None:  # noqa: ANN401
         if not held.answered:
@@ -231,10 +234,10 @@
             exchange.refuse(400, b"x-request-id: in use\n")
             return
         if len(self.held) >= self.config.most_held:
-            exchange.reply(503, retry_after=self.settings.longest_advice)
+            exchange.reply(503, retry_after=self.settings.retry_after_limit)
             return
         now = self.clock.now()
-        patience = min(arrival.time_out, self.settings.classes[arrival.cls].give_up)
+        patience = min(arrival.time_out, self.settings.classes[arrival.cls].timeout)
         expires_at = now + max(0.0, patience - ANSWER_ROOM)
         if self.ends_at is not None:
             expires_at = min(expires_at, self.ends_at)
@@ -244,8 +247,8 @@
         self.feed(
             api.Request(
                 id=arrival.id,
-                cls=arrival.cls,
-                plan=arrival.plan,
+                class_index=arrival.cls,
+                plan_index=arrival.plan,
                 customer=arrival.customer,
                 entry_gateways=arrival.entries,
                 expires_at=expires_at,
@@ -259,7 +262,7 @@
         held = exchange.held
         if held is not None and not held.answered:
             held.answered = True
-            self.feed(api.Abandoned(held.arrival.id))
+            self.feed(api.RequestAbandoned(held.arrival.id))
             self._forget(held)
 
     def _expire(self, held: PendingRequest) -> None:
@@ -277,15 +280,15 @@
         if held is None:
             log.error("the decision module sent a request that is not held")
             return
-        now, endpoint = self.clock.now(), self.discovery.endpoints.get(action.server)
+        now, endpoint = self.clock.now(), self.discovery.endpoints.get(action.host)
         number = len(held.attempts)
         held.out += 1
         if endpoint is None:
-            attempt = Attempt(action.server, ("", 0), lambda: None, partial(self._done, held), number, now)
+            attempt = Attempt(action.host, ("", 0), lambda: None, partial(self._done, held), number, now)
             held.attempts.append(attempt)
             attempt.end(Outcome.NOT_SENT)
             return
-        until = min(action.until or held.expires_at, held.expires_at)
+        until = min(action.deadline or held.expires_at, held.expires_at)
 
         def payload() -> bytes | None:
             if held.exchange.connection.gone():
@@ -295,7 +298,7 @@
             left = until - self.clock.now()
             return self._payload(held, left) if left > 0 else None
 
-        attempt = Attempt(action.server, endpoint.address, payload, partial(self._done, held), number, now)
+        attempt = Attempt(action.host, endpoint.address, payload, partial(self._done, held), number, now)
         attempt.started_at = endpoint.server.started_at
         held.attempts.append(attempt)
         if until < held.expires_at - TIMER:
@@ -340,11 +343,11 @@
                 attempt=attempt.number,
                 outcome=outcome,
                 delay=self.clock.now() - attempt.sent_at,
-                finished=held.answered,
+                request_done=held.answered,
                 usage=answer.usage if answer else None,
                 units=answer.units if answer and outcome is Outcome.OK else None,
-                report=answer.report if answer else (),
-                broke=attempt.broke,
+                load_report=answer.report if answer else (),
+                connection_broken=attempt.broke,
             )
         )
         self._forget(held)
@@ -356,7 +359,7 @@
 
     def _refuse(self, action: api.Refuse) -> None:
         if held := self.held.get(action.request):
-            self._finish(held, 503, retry_after=action.advice)
+            self._finish(held, 503, retry_after=action.retry_after)
 
     def _fail(self, action: api.Fail) -> None:
         if held := self.held.get(action.request):
@@ -367,14 +370,14 @@
         self.loop.call_later(max(0.0, action.delay), self.feed, api.TimerFired(action.token))
 
     def _probe(self, action: api.Probe) -> None:
-        endpoint, started = self.discovery.endpoints.get(action.server), self.clock.now()
+        endpoint, started = self.discovery.endpoints.get(action.host), self.clock.now()
 
         def ended(attempt: Attempt, outcome: Outcome, answer: Answer | None) -> None:
             report = answer.report if answer else ()
-            self.feed(api.ProbeDone(action.server, outcome, self.clock.now() - started, report))
+            self.feed(api.ProbeDone(action.host, outcome, self.clock.now() - started, report))
 
-        text = f"GET /alive HTTP/1.1\r\nHost: {action.server}\r\n\r\n".encode()
-        attempt = Attempt(action.server, endpoint.address if endpoint else ("", 0), lambda: text, ended)
+        text = f"GET /alive HTTP/1.1\r\nHost: {action.host}\r\n\r\n".encode()
+        attempt = Attempt(action.host, endpoint.address if endpoint else ("", 0), lambda: text, ended)
         if endpoint is None:
             attempt.end(Outcome.NOT_SENT)
             return
@@ -384,7 +387,7 @@
         )
         self.upstreams.send(attempt)
 
-    def _count(self, action: api.Count) -> None:
+    def _count(self, action: api.CounterAdd) -> None:
         if self.counter is None:
             self.feed(api.CounterReply(action.name, False, 0.0))
         else:
@@ -392,10 +395,10 @@
 
     # The list of hosts
 
-    def _listed(self, kind: api.ListKind, servers: tuple[api.Server, ...], stale: list[Place]) -> None:
+    def _listed(self, kind: api.ListKind, servers: tuple[api.HostInfo, ...], stale: list[Place]) -> None:
         for place in stale:
             self.upstreams.retire(place)
-        self.feed(api.ServerList(kind, servers))
+        self.feed(api.HostList(kind, servers))
 
     # The end
 
@@ -405,7 +408,7 @@
             return
         log.info("stopping")
         self.ready = False
-        last = min(DEADLINE, max(c.give_up for c in self.settings.classes)) + KILLED - BEFORE
+        last = min(DEADLINE, max(c.timeout for c in self.settings.classes)) + KILLED - BEFORE
         self.ends_at = self.clock.now() + last
         self.server.drain()
         self.loop.call_later(min(ACCEPT, last), self._linger)
--- a/coralvale/net/server.py
+++ b/coralvale/net/server.py
@@ -190,8 +190,10 @@
     def __init__(self, settings: api.Settings) -> None:
         self.classes = {c.name.encode(): i for i, c in enumerate(settings.classes)}
         self.plans = {p.name.encode(): i for i, p in enumerate(settings.plans)}
-        self.methods = [b"GET" if c.repeat is api.Repeat.SAFE else b"POST" for c in settings.classes]
-        self.gateways, self.most_units = settings.gateways, settings.most_units
+        self.methods = [
+            b"GET" if c.idempotency is api.Idempotency.SAFE else b"POST" for c in settings.classes
+        ]
+        self.gateways, self.most_units = settings.gateways, settings.max_units
 
 
 class ClientConnection(asyncio.Protocol):
@@ -439,7 +441,7 @@
     ) -> None:
         # Past `most` connections are told 503 and closed; past `surplus` more they wait in the kernel.
         self.handler, self.most, self.surplus = handler, most, surplus
-        self.names, self.max_advice = Names(settings), settings.longest_advice
+        self.names, self.max_advice = Names(settings), settings.retry_after_limit
         self.loop = asyncio.get_running_loop()
         self.connections: set[ClientConnection] = set()
         # Those on which no request is open, by how long: looked at from the front only, never sorted.
--- a/coralvale/shared_quota.py
+++ b/coralvale/shared_quota.py
@@ -128,7 +128,7 @@
 
         Most requests are small and most units are in large ones, so this spares most calls and few units.
         """
-        share = min(1.0, units / self.settings.most_units) if self.settings.most_units < math.inf else 1.0
+        share = min(1.0, units / self.settings.max_units) if self.settings.max_units < math.inf else 1.0
         return min(1.0, share + (1 - share) * max(0.0, self.trust - TRUST_ALL) / (TRUST_EACH - TRUST_ALL))
 
     def call(self, now: float, reservation: Reservation) -> Calls:
@@ -171,11 +171,11 @@
         restrictor.tell_later(units - amount, pool)
         return amount
 
-    def _enqueue(self, call: PendingCall) -> api.Count:
+    def _enqueue(self, call: PendingCall) -> api.CounterAdd:
         self.pending.setdefault(call.bucket.name, deque()).append(call)
         if call.reservation:
             self.waiting[call.reservation.request.id] = call.reservation
-        return api.Count(call.bucket.name, call.amount, NAME_LIFETIME)
+        return api.CounterAdd(call.bucket.name, call.amount, NAME_LIFETIME)
 
     # Replies
 
--- a/coralvale/state.py
+++ b/coralvale/state.py
@@ -11,20 +11,26 @@
 from coralvale.reservation import Reservation
 
 
-class Pace:
+class EventRate:
     """How often own events of a kind come: a running mean of the gaps, the newest weighted by `weight`."""
 
     def __init__(self, weight: float) -> None:
-        self.weight, self.gap, self.at = weight, math.inf, -math.inf
+        self.weight, self.mean_gap, self.last_at = weight, math.inf, -math.inf
 
-    def note(self, now: float) -> None:
-        gap = now - self.at
-        self.gap = gap if self.gap == math.inf else self.gap + self.weight * (gap - self.gap)
-        self.at = now
+    def record(self, now: float) -> None:
+        gap = now - self.last_at
+        self.mean_gap = (
+            gap if self.mean_gap == math.inf else self.mean_gap + self.weight * (gap - self.mean_gap)
+        )
+        self.last_at = now
 
     def rate(self, now: float) -> float:
         """Events a second; a gap that lasts longer than usual counts while it lasts."""
-        gap = self.gap + self.weight * max(0.0, now - self.at - self.gap) if self.gap < math.inf else math.inf
+        gap = (
+            self.mean_gap + self.weight * max(0.0, now - self.last_at - self.mean_gap)
+            if self.mean_gap < math.inf
+            else math.inf
+        )
         return 1 / max(gap, 1e-3)
 
 
@@ -40,12 +46,12 @@
     """A request in hand, kept until it is answered and no attempt is out."""
 
     request: api.Request
-    arrived: float
+    arrived_at: float
     reservation: Reservation
     attempts: list[Attempt] = field(default_factory=list)
     may_have_run: Attempt | None = None  # the first attempt that may have run
-    live: bool = True
-    sent: bool = False  # an attempt was sent, as far as is known
+    is_open: bool = True
+    was_sent: bool = False  # an attempt was sent, as far as is known
 
 
 class Reason(StrEnum):
@@ -53,15 +59,15 @@
 
     ATTEMPTS_USED_UP = "attempts used up"
     CEILING = "ceiling"
-    NO_SERVER = "no server"
+    NO_HOST = "no server"
     OPEN_LIMIT = "open limit"
-    PRESSED = "pressed"
+    OVERLOAD = "pressed"
     QUOTA = "quota"  # by this gateway's own bucket
-    QUOTA_COUNTED = "quota counted"  # by the shared bucket
+    SHARED_QUOTA = "quota counted"  # by the shared bucket
     TOO_LATE = "too late"
 
 
-QUOTA_REASONS = (Reason.QUOTA, Reason.QUOTA_COUNTED)
+QUOTA_REASONS = (Reason.QUOTA, Reason.SHARED_QUOTA)
 
 
 @dataclass(frozen=True, slots=True)
@@ -92,22 +98,22 @@
 Decision = Admitted | Refused | Pending
 
 
-class Refusals:
+class RefusalLog:
     """Counts refusals by reason for the log line that on-call staff read."""
 
-    def __init__(self, every: float) -> None:
-        self.every, self.due = every, math.inf
+    def __init__(self, interval: float) -> None:
+        self.interval, self.due_at = interval, math.inf
         self.counts: dict[Reason, int] = {}
 
-    def note(self, reason: Reason) -> None:
+    def count(self, reason: Reason) -> None:
         self.counts[reason] = self.counts.get(reason, 0) + 1
 
     def lines(self, now: float) -> list[api.Action]:
         """The line that is due now, if any."""
-        self.due = now + self.every if self.due == math.inf else self.due
-        if now < self.due:
+        self.due_at = now + self.interval if self.due_at == math.inf else self.due_at
+        if now < self.due_at:
             return []
-        self.due += self.every
-        told = ", ".join(f"{reason} {count}" for reason, count in sorted(self.counts.items()))
+        self.due_at += self.interval
+        summary = ", ".join(f"{reason} {count}" for reason, count in sorted(self.counts.items()))
         self.counts = {}
-        return [api.Log(f"refused in {self.every:.0f} s: {told}")] if told else []
+        return [api.Log(f"refused in {self.interval:.0f} s: {summary}")] if summary else []
--- a/testbed/quota/deployment.py
+++ b/testbed/quota/deployment.py
@@ -129,13 +129,13 @@
         named = units
         if self.settles_after:
             guess = round(units * float(generator.lognormal(0.0, self.guess_spread)))
-            named = min(self.settings[0].most_units, max(1.0, float(guess)))
+            named = min(self.settings[0].max_units, max(1.0, float(guess)))
         at = (step + float(generator.random())) * TICK
         return Arrival(at, customer, cls, units, named)
 
     def patience(self, cls: int, random: Random) -> float:
         """Seconds that a client waits for one try."""
-        return self.classes[cls].give_up * random.uniform(self.clients.try_share, 1.0)
+        return self.classes[cls].timeout * random.uniform(self.clients.try_share, 1.0)
 
     def service_time(self, cls: int, random: Random) -> float:
         """Seconds that a host takes for an attempt."""
@@ -305,28 +305,28 @@
             classes=self.classes,
             plans=self.plans,
             drain_grace=rules.number("drain_grace_ms") / 1000,
-            cold_share=COLD_SHARE,
-            warm_after=0.0,
-            fall_multiple=rules.number("fall_multiple"),
-            fall_window=rules.number("fall_ms") / 1000,
+            cold_capacity=COLD_SHARE,
+            warm_up_time=0.0,
+            overload_multiple=rules.number("fall_multiple"),
+            overload_window=rules.number("fall_ms") / 1000,
             max_attempts=max(1, int(allowed.number("max_attempts"))),
             may_count=counts,
             counter_timeout=self.counter.timeout,
             meter_period=meter_period,
-            settles_after=settles,
-            advice=allowed.flag("retry_after"),
-            max_advice=advice,
-            most_units=self.most_units,
+            post_paid=settles,
+            retry_after_allowed=allowed.flag("retry_after"),
+            max_retry_after=advice,
+            max_units=self.most_units,
         )
 
 
 def _request_class(section: Section) -> api.RequestClass:
     return api.RequestClass(
         name=section.text("name"),
-        aim=section.number("aim_ms") / 1000,
-        give_up=section.number("deadline_ms") / 1000,
+        latency_target=section.number("aim_ms") / 1000,
+        timeout=section.number("deadline_ms") / 1000,
         worth=section.number("worth"),
-        repeat=api.Repeat.SAFE,
+        idempotency=api.Idempotency.SAFE,
         late_worth=section.number("late_worth", 0.0),
     )
 
--- a/testbed/quota/report.py
+++ b/testbed/quota/report.py
@@ -88,7 +88,7 @@
         self.first_tries += 1
         plan = attempt.customer.plan
         reference = self.references[attempt.customer.number]
-        inside = reference.admits(now, attempt.request.units, self.day.work[attempt.request.cls])
+        inside = reference.admits(now, attempt.request.units, self.day.work[attempt.request.class_index])
         share = 1.0 if inside else plan.excess_worth
         self.plans[attempt.customer.plan_index].offered += share * self._worth(attempt)
 
@@ -115,7 +115,7 @@
             self.refused_with_room += 1
 
     def _worth(self, attempt: Try) -> float:
-        worth = self.day.classes[attempt.request.cls].worth * attempt.customer.plan.price
+        worth = self.day.classes[attempt.request.class_index].worth * attempt.customer.plan.price
         return worth * attempt.request.units
 
     def summary(self) -> DayFigures:
--- a/testbed/quota/simulation.py
+++ b/testbed/quota/simulation.py
@@ -61,9 +61,9 @@
 
     def _start_gateways(self) -> None:
         hosts = tuple(
-            api.Server(f"host-{i}", api.ServerState.HEALTHY, zone=i % 2, cell=i % 4) for i in range(HOSTS)
+            api.HostInfo(f"host-{i}", api.HostState.HEALTHY, zone=i % 2, cell=i % 4) for i in range(HOSTS)
         )
-        listed = api.ServerList(api.ListKind.CACHED, hosts)
+        listed = api.HostList(api.ListKind.CACHED, hosts)
         for index in range(len(self.gateways)):
             self._at(-START_SPREAD * self.random.random(), self._feed, index, listed)
 
@@ -82,8 +82,8 @@
         customer = arrival.customer
         request = api.Request(
             id=f"r{next(self.sequence)}",
-            cls=arrival.cls,
-            plan=customer.plan_index,
+            class_index=arrival.cls,
+            plan_index=customer.plan_index,
             customer=customer.number,
             entry_gateways=customer.spread,
             expires_at=self.now + self.day.patience(arrival.cls, self.random),
@@ -101,12 +101,12 @@
     def _act(self, gateway: int, action: api.Action) -> None:
         if isinstance(action, api.SetTimer):
             self._at(self.now + action.delay, self._feed, gateway, api.TimerFired(action.token))
-        elif isinstance(action, api.Count):
+        elif isinstance(action, api.CounterAdd):
             self._count(gateway, action)
         elif isinstance(action, api.Send):
             self._send(gateway, self.tries[action.request])
         elif isinstance(action, api.Refuse | api.Fail):
-            self._refuse(self.tries[action.request], getattr(action, "advice", 0.0))
+            self._refuse(self.tries[action.request], getattr(action, "retry_after", 0.0))
 
     def _send(self, gateway: int, attempt: Try) -> None:
         customer = attempt.customer
@@ -117,7 +117,7 @@
             self.meters[customer.number].note(self.now, attempt.request.units)
             self.figures.sent(attempt)
         store.open += 1
-        delay = self.day.service_time(attempt.request.cls, self.random)
+        delay = self.day.service_time(attempt.request.class_index, self.random)
         self._at(self.now + delay, self._answer, gateway, attempt, attempt.attempts, delay)
         attempt.attempts += 1
 
@@ -161,7 +161,7 @@
 
     # The counter
 
-    def _count(self, gateway: int, call: api.Count) -> None:
+    def _count(self, gateway: int, call: api.CounterAdd) -> None:
         trip = self.day.counter_trip(gateway)
         deadline = self.now + self.day.counter.timeout
         answer = self.counter.add(self.now, call.name, call.amount, call.lifetime)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -8,7 +8,7 @@
 from coralvale import Gateway
 from coralvale import interface as api
 
-READ = api.RequestClass("read", aim=1.0, give_up=4.0, worth=1.0, repeat=api.Repeat.SAFE)
+READ = api.RequestClass("read", latency_target=1.0, timeout=4.0, worth=1.0, idempotency=api.Idempotency.SAFE)
 PLAN = api.Plan("basic", rate=4.0, burst=8.0, excess_cost=1.0)
 SETTINGS = api.Settings(
     gateways=2,
@@ -16,29 +16,31 @@
     classes=(READ,),
     plans=(PLAN,),
     drain_grace=1.0,
-    cold_share=0.25,
-    warm_after=10.0,
-    fall_multiple=2.0,
-    fall_window=3.0,
+    cold_capacity=0.25,
+    warm_up_time=10.0,
+    overload_multiple=2.0,
+    overload_window=3.0,
     max_attempts=4,
     may_cancel=True,
     meter_period=1.0,
-    max_advice=1.0,
+    max_retry_after=1.0,
 )
 
 
-def server(name: str, **more: Any) -> api.Server:
-    return api.Server(name, more.pop("state", api.ServerState.HEALTHY), **more)
+def server(name: str, **more: Any) -> api.HostInfo:
+    return api.HostInfo(name, more.pop("state", api.HostState.HEALTHY), **more)
 
 
-def full_list(*servers: api.Server) -> api.ServerList:
-    return api.ServerList(api.ListKind.FULL, servers)
+def full_list(*servers: api.HostInfo) -> api.HostList:
+    return api.HostList(api.ListKind.FULL, servers)
 
 
 class Bench:
     """A gateway with its clock and timers, and short ways to feed it."""
 
-    def __init__(self, servers: tuple[api.Server, ...] | None = None, seed: int = 1, **changes: Any) -> None:
+    def __init__(
+        self, servers: tuple[api.HostInfo, ...] | None = None, seed: int = 1, **changes: Any
+    ) -> None:
         self.gateway = Gateway(replace(SETTINGS, **changes), seed)
         self.now, self.serial = 100.0, 0
         self.timers: list[tuple[float, int]] = []
@@ -66,11 +68,17 @@
     def request(self, customer: int = 1, **more: Any) -> tuple[str, list[api.Action]]:
         self.serial += 1
         name = more.pop("id", f"r{self.serial}")
-        fields = {"cls": 0, "plan": 0, "entry_gateways": 1, "expires_at": self.now + 4.0, **more}
+        fields = {
+            "class_index": 0,
+            "plan_index": 0,
+            "entry_gateways": 1,
+            "expires_at": self.now + 4.0,
+            **more,
+        }
         return name, self.feed(api.Request(name, customer=customer, **fields))
 
     def done(
         self, name: str, outcome: api.Outcome = api.Outcome.OK, attempt: int = 0, **more: Any
     ) -> list[api.Action]:
-        fields = {"delay": 0.1, "finished": outcome is api.Outcome.OK, **more}
+        fields = {"delay": 0.1, "request_done": outcome is api.Outcome.OK, **more}
         return self.feed(api.AttemptDone(name, attempt, outcome, **fields))
--- a/tests/quota_books.py
+++ b/tests/quota_books.py
@@ -67,7 +67,7 @@
 class OpenCall:
     """A call that the counter has not answered, and the gateway's own record of it."""
 
-    action: api.Count
+    action: api.CounterAdd
     record: PendingCall
     undoes_fill_up: bool
     request_units: float  # of the request that it was made for; nought where there is none
@@ -145,7 +145,7 @@
             "plans": PLANS,
             "may_count": True,
             "counter_timeout": COUNTER_TIMEOUT,
-            "most_units": math.inf,  # each request is asked about, none stands for others
+            "max_units": math.inf,  # each request is asked about, none stands for others
             "meter_period": 0.0,
         }
         super().__init__(seed=seed, **{**settings, **changes})
@@ -166,7 +166,7 @@
                 ticket = self.tickets[action.request]
                 assert not ticket.ended, action
                 ticket.ended = True
-            elif isinstance(action, api.Count):
+            elif isinstance(action, api.CounterAdd):
                 self._take_call(action, undoes=answered and self._answered_fill_up)
         return actions
 
@@ -182,7 +182,7 @@
         self.quota, self.pool = Account(), Account()
         self.tickets = {name: ticket for name, ticket in self.tickets.items() if not ticket.ended}
 
-    def _take_call(self, action: api.Count, undoes: bool) -> None:
+    def _take_call(self, action: api.CounterAdd, undoes: bool) -> None:
         records = self.gateway.admission.shared.pending[action.name]
         record = next(r for r in records if not any(r is known for known in self._records))
         assert record.amount == action.amount
@@ -210,7 +210,7 @@
         self.gateway.admission.shared.trust = TRUST_EACH
         name = f"r{self.serial + 1}"
         self.tickets[name] = Ticket(units, plan, entries)
-        self.request(CUSTOMER, id=name, plan=plan, entry_gateways=entries, units=units)
+        self.request(CUSTOMER, id=name, plan_index=plan, entry_gateways=entries, units=units)
         return name
 
     def finish(self, name: str, outcome: api.Outcome, **answer: object) -> None:
@@ -220,12 +220,12 @@
         ticket.reached_host = ticket.reached_host or outcome is not api.Outcome.NOT_SENT
         ended = ticket.ended
         ticket.ended = ended or outcome is api.Outcome.OK
-        self.done(name, outcome, ticket.attempts - 1, finished=ticket.ended, **answer)
+        self.done(name, outcome, ticket.attempts - 1, request_done=ticket.ended, **answer)
 
     def leave(self, name: str) -> None:
         """The client leaves, or its time is up."""
         self.tickets[name].ended = True
-        self.feed(api.Abandoned(name))
+        self.feed(api.RequestAbandoned(name))
 
     def drain(self) -> None:
         """The time of a gateway that ends is up: nobody waits for what it holds any more."""
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -84,10 +84,10 @@
     ("change", "named"),
     [
         ({"rules__cold_from": None}, "rules.cold_from: missing"),
-        ({"rules__cold_from": "1.5"}, "cold_share"),
+        ({"rules__cold_from": "1.5"}, "cold_capacity"),
         ({"classes__0__aim_s": "soon"}, "classes.0.aim_s"),
         ({"classes__0__repeat": "sometimes"}, "classes.0.repeat"),
-        ({"classes__0__aim_s": "9"}, "classes[0].aim"),
+        ({"classes__0__aim_s": "9"}, "classes[0].latency_target"),
         ({"packages__0__per_second": "nan"}, "plans[0].rate"),
         ({"packages__0__most_at_once": "0"}, "plans[0].burst"),
     ],
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -1,10 +1,11 @@
 """Cold servers: what all gateways together send to one stays within what the settings allow, and chance.
 
-Many instances of the module in fake time. A server that has started does `cold_share` of its work at first
-and is warm after `warm_after`; it falls when more is sent within `fall_window` than `fall_multiple` times
-what it can do. N being that many requests, 2 x root of N + 2 more (N under 30: 3 x root of N + 3) are put
-down to chance. The rule is broken by a fall of which over two thirds came from gateways that had been told
-of the start, so each request is attributed: a gateway that has a list from before cannot know.
+Many instances of the module in fake time. A server that has started does `cold_capacity` of its work at
+first and is warm after `warm_up_time`; it falls when more is sent within `overload_window` than
+`overload_multiple` times what it can do. N being that many requests, 2 x root of N + 2 more (N under 30: 3 x
+root of N + 3) are put down to chance. The rule is broken by a fall of which over two thirds came from
+gateways that had been told of the start, so each request is attributed: a gateway that has a list from
+before cannot know.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 DELAY = 0.1  # s that one takes
 LOAD = 0.9  # of what all servers can do when they are warm
 BUSY = 5.0  # times what another gateway sees comes to one of ten
-COLD = replace(SETTINGS, cold_share=0.19, warm_after=14.0, fall_multiple=3.0, fall_window=2.0)
+COLD = replace(SETTINGS, cold_capacity=0.19, warm_up_time=14.0, overload_multiple=3.0, overload_window=2.0)
 PLAN = api.Plan("open", rate=1e6, burst=1e6)
 
 
@@ -98,13 +99,13 @@
             if isinstance(action, api.SetTimer):
                 self.later(action.delay, gateway, api.TimerFired(action.token))
             elif isinstance(action, api.Send):
-                was_told = self.known[gateway][action.server] == self.servers[action.server].started_at
-                self.sent[action.server].append(Arrival(self.now, was_told))
+                was_told = self.known[gateway][action.host] == self.servers[action.host].started_at
+                self.sent[action.host].append(Arrival(self.now, was_told))
                 held = self.gateways[gateway].requests[action.request]
-                fails = self.now < self.failing.get(action.server, 0.0)
+                fails = self.now < self.failing.get(action.host, 0.0)
                 outcome = api.Outcome.ERROR if fails else api.Outcome.OK
                 number = len(held.attempts) - 1
-                done = api.AttemptDone(action.request, number, outcome, DELAY, finished=not fails)
+                done = api.AttemptDone(action.request, number, outcome, DELAY, request_done=not fails)
                 self.later(0.01 if fails else DELAY, gateway, done)
 
     def run(self, seconds: float) -> None:
@@ -130,12 +131,12 @@
         for arrival in arrivals:
             told.append(told[-1] + arrival.was_told)
         for i, first in enumerate(arrivals):
-            if first.at - started >= COLD.warm_after:
+            if first.at - started >= COLD.warm_up_time:
                 break
-            while end < len(arrivals) and arrivals[end].at < first.at + COLD.fall_window:
+            while end < len(arrivals) and arrivals[end].at < first.at + COLD.overload_window:
                 end += 1
-            warmth = COLD.cold_share + (1 - COLD.cold_share) * (first.at - started) / COLD.warm_after
-            allowed = COLD.fall_multiple * warmth * CAPACITY * COLD.fall_window
+            warmth = COLD.cold_capacity + (1 - COLD.cold_capacity) * (first.at - started) / COLD.warm_up_time
+            allowed = COLD.overload_multiple * warmth * CAPACITY * COLD.overload_window
             if end - i > allowed + chance(allowed):
                 falls.append(Fall(first.at, end - i, told[end] - told[i]))
         return falls
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -18,9 +18,9 @@
     return bench
 
 
-def ask(bench: Bench, **more: object) -> tuple[str, api.Count]:
+def ask(bench: Bench, **more: object) -> tuple[str, api.CounterAdd]:
     name, actions = bench.request(entry_gateways=MANY, **more)
-    assert [type(a) for a in actions] == [api.Count]
+    assert [type(a) for a in actions] == [api.CounterAdd]
     return name, actions[0]
 
 
@@ -32,8 +32,8 @@
 
     def serve(self, bench: Bench, actions: list[api.Action]) -> list[api.Action]:
         """Answers all calls among the actions, and those that follow; returns the other actions."""
-        others = [a for a in actions if not isinstance(a, api.Count)]
-        for call in (a for a in actions if isinstance(a, api.Count)):
+        others = [a for a in actions if not isinstance(a, api.CounterAdd)]
+        for call in (a for a in actions if isinstance(a, api.CounterAdd)):
             total = self.totals[call.name] = self.totals.get(call.name, 0.0) + call.amount
             others += self.serve(bench, bench.feed(api.CounterReply(call.name, True, total)))
         return others
@@ -50,7 +50,7 @@
     bench = counting()
     for _ in range(20):
         _, actions = bench.request(entry_gateways=4)
-        assert not [a for a in actions if isinstance(a, api.Count)]
+        assert not [a for a in actions if isinstance(a, api.CounterAdd)]
 
 
 def test_where_each_part_of_the_burst_holds_a_request_the_meter_spares_the_counter() -> None:
@@ -60,14 +60,18 @@
             customer = entries + 100 * int(units)
             _, actions = bench.request(customer=customer, entry_gateways=entries, units=units)
             own = entries < 8 or (metered and units * entries <= PLAN.burst)
-            assert [type(a) for a in actions] == [api.Send if own else api.Count], (metered, entries, units)
+            assert [type(a) for a in actions] == [api.Send if own else api.CounterAdd], (
+                metered,
+                entries,
+                units,
+            )
 
 
 def test_nothing_is_asked_where_there_is_no_counter_or_little_time() -> None:
     assert [type(a) for a in Bench(gateways=100).request(entry_gateways=MANY)[1]] == [api.Send]
     bench = counting()
     _, actions = bench.request(entry_gateways=MANY, expires_at=bench.now + 0.15)
-    assert not [a for a in actions if isinstance(a, api.Count)]
+    assert not [a for a in actions if isinstance(a, api.CounterAdd)]
 
 
 def test_nothing_is_asked_where_letting_in_beyond_the_quota_costs_nothing() -> None:
@@ -111,7 +115,7 @@
         total += ask(bench, customer=97)[1].amount
     for bench in benches:
         (name,) = bench.gateway.admission.shared.pending
-        calls += [a for a in bench.feed(api.CounterReply(name, True, total)) if isinstance(a, api.Count)]
+        calls += [a for a in bench.feed(api.CounterReply(name, True, total)) if isinstance(a, api.CounterAdd)]
     assert len(calls) == 2 and min(c.amount for c in calls) > PLAN.burst
     undone = []
     for bench, call in zip(benches, calls, strict=True):
@@ -124,7 +128,7 @@
     bench = counting()
     _, call = ask(bench)
     actions = bench.feed(api.CounterReply(call.name, True, 1e6))
-    assert [a.amount for a in actions if isinstance(a, api.Count)] == [-1.0]  # a refused one takes nothing
+    assert [a.amount for a in actions if isinstance(a, api.CounterAdd)] == [-1.0]  # refused: takes nothing
     assert [type(a) for a in bench.request(entry_gateways=MANY)[1]] == [api.Refuse]
 
 
@@ -140,7 +144,7 @@
         bench.feed(api.CounterReply(call.name, True, full))
         refused_at = bench.now
         shared.trust = TRUST_EACH
-        while not isinstance(bench.request(entry_gateways=MANY)[1][0], api.Count):
+        while not isinstance(bench.request(entry_gateways=MANY)[1][0], api.CounterAdd):
             bench.now += 0.05
             shared.trust = TRUST_EACH
         assert bench.now - refused_at == pytest.approx(backoff, abs=0.11)
@@ -151,7 +155,7 @@
     bench = counting(plans=(PLAN, replace(PLAN, name="open", rate=0.0, burst=0.0, open_limit=2.0)))
     _, call = ask(bench)
     bench.gateway.admission.shared.congestion = 1.0
-    bench.request(plan=1, entry_gateways=MANY)
+    bench.request(plan_index=1, entry_gateways=MANY)
     assert api.Refuse in [type(a) for a in bench.feed(api.CounterReply(call.name, True, 1e6))]
 
 
@@ -183,7 +187,7 @@
         _, call = ask(bench)
         assert [type(a) for a in bench.feed(api.CounterReply(call.name, *reply))] == [api.Send]
         second = bench.request(entry_gateways=MANY)[1]
-        if isinstance(second[0], api.Count):
+        if isinstance(second[0], api.CounterAdd):
             second = bench.feed(api.CounterReply(second[0].name, False, 0.0))
         assert [type(a) for a in second] == [api.Refuse]
 
@@ -224,11 +228,11 @@
     rate, most = bench.gateway.admission.restrictors[1].pool
     total = rate * (bench.now - began) + most + rate + call.amount  # a second's worth over the brim
     actions = bench.feed(api.CounterReply(call.name, True, total))
-    assert [a.amount for a in actions if isinstance(a, api.Count)] == [-1.0]
+    assert [a.amount for a in actions if isinstance(a, api.CounterAdd)] == [-1.0]
     asked = []
     for _ in range(24):  # each 0.05 s, of which the even part lets in every seventh
         bench.wait(0.05)
-        asked.append(api.Count in [type(a) for a in bench.request(entry_gateways=MANY)[1]])
+        asked.append(api.CounterAdd in [type(a) for a in bench.request(entry_gateways=MANY)[1]])
     assert not any(asked[:20]) and any(asked[20:])
 
 
@@ -270,7 +274,7 @@
         for customer in range(first, first + 100):
             bench.wait(0.1)
             call = bench.request(customer=customer, entry_gateways=MANY)[1][0]
-            if isinstance(call, api.Count):
+            if isinstance(call, api.CounterAdd):
                 asked += 1
                 bench.feed(api.CounterReply(call.name, False, 0.0))
         return asked
@@ -280,7 +284,7 @@
     for customer in range(200, 1000):
         bench.wait(0.1)
         for call in bench.request(customer=customer, entry_gateways=MANY)[1]:
-            if isinstance(call, api.Count):
+            if isinstance(call, api.CounterAdd):
                 bench.feed(api.CounterReply(call.name, True, call.amount))
     ask(bench, customer=1000)
 
@@ -296,35 +300,35 @@
 
 def test_in_a_crowd_a_sample_of_the_small_requests_stands_for_all_of_them() -> None:
     for trust, least, most in ((1.0, 0.2, 0.3), (1.5, 0.57, 0.68), (TRUST_EACH, 1.0, 1.0)):
-        bench, amounts = counting(most_units=4.0), list[float]()
+        bench, amounts = counting(max_units=4.0), list[float]()
         for customer in range(1000):
             bench.gateway.admission.shared.trust = trust
             action = bench.request(customer=customer, entry_gateways=MANY)[1][0]
-            if isinstance(action, api.Count):
+            if isinstance(action, api.CounterAdd):
                 amounts.append(action.amount)
         assert least <= len(amounts) / 1000 <= most
         assert 0.9 <= sum(amounts) / 1000 <= 1.1
         assert ask(bench, customer=1000, units=4.0)[1].amount == 4.0  # the large ones are all asked about
 
 
-def sampled(bench: Bench) -> api.Count:
+def sampled(bench: Bench) -> api.CounterAdd:
     """The first call about a small request that is drawn to be asked about, and so stands for others."""
     calls = (bench.request(customer=customer, entry_gateways=MANY)[1][0] for customer in range(100))
-    call = next(c for c in calls if isinstance(c, api.Count))
+    call = next(c for c in calls if isinstance(c, api.CounterAdd))
     assert call.amount == 4.0
     return call
 
 
 def test_a_request_stands_for_no_others_while_the_own_bucket_lets_none_in() -> None:
-    bench, amounts = counting(most_units=4.0), list[float]()
+    bench, amounts = counting(max_units=4.0), list[float]()
     for customer in range(100):
         bench.gateway.admission.shared.trust = 1.0
         bench.request(customer=customer, entry_gateways=MANY)
         restrictor = bench.gateway.admission.restrictors[customer]
         restrictor.fill, restrictor.unreported = 2 * PLAN.burst, 0.0
         action = bench.request(customer=customer, entry_gateways=MANY)[1][0]
-        assert isinstance(action, api.Count | api.Refuse)
-        if isinstance(action, api.Count):
+        assert isinstance(action, api.CounterAdd | api.Refuse)
+        if isinstance(action, api.CounterAdd):
             amounts.append(action.amount)
     assert len(amounts) > 10
     assert set(amounts) == {1.0}
@@ -332,11 +336,11 @@
 
 def test_requests_that_guards_refuse_leave_nothing_on_the_counter_whether_asked_about_or_not() -> None:
     """One that is asked about stands for others; these give back their units as it does its own."""
-    bench, told, untold = counting(most_units=4.0, servers=()), 0.0, 0.0
+    bench, told, untold = counting(max_units=4.0, servers=()), 0.0, 0.0
     for customer in range(1000):
         bench.gateway.admission.shared.trust = 1.0
         action = bench.request(customer=customer, entry_gateways=MANY)[1][0]
-        if isinstance(action, api.Count):
+        if isinstance(action, api.CounterAdd):
             began = bench.gateway.admission.shared.pending[action.name][0].bucket.began
             empty = action.amount + PLAN.rate * (bench.now - began)
             assert [type(a) for a in bench.feed(api.CounterReply(action.name, True, empty))] == [api.Refuse]
@@ -347,15 +351,15 @@
 
 
 def test_a_request_refused_by_the_shared_bucket_leaves_there_what_it_stands_for() -> None:
-    bench = counting(most_units=4.0)
+    bench = counting(max_units=4.0)
     call = sampled(bench)
     actions = bench.feed(api.CounterReply(call.name, True, 1e6))
-    assert [a.amount for a in actions if isinstance(a, api.Count)] == [-1.0]
+    assert [a.amount for a in actions if isinstance(a, api.CounterAdd)] == [-1.0]
 
 
 def test_what_stands_for_others_takes_no_room_from_the_request_itself() -> None:
     for fill, lets_in in ((PLAN.burst - 1.0, True), (PLAN.burst - 0.5, False)):
-        bench = counting(most_units=4.0)
+        bench = counting(max_units=4.0)
         call = sampled(bench)
         began = bench.gateway.admission.shared.pending[call.name][0].bucket.began
         total = call.amount + fill + PLAN.rate * (bench.now - began)
@@ -369,7 +373,7 @@
         asked = set()
         for customer in range(200):
             bench.gateway.admission.shared.trust = 0.3
-            if isinstance(bench.request(customer=customer, entry_gateways=MANY)[1][0], api.Count):
+            if isinstance(bench.request(customer=customer, entry_gateways=MANY)[1][0], api.CounterAdd):
                 asked.add(customer)
         counted.append(asked)
     assert counted[0] == counted[1] == counted[2]
@@ -379,7 +383,7 @@
 def test_a_client_that_leaves_while_the_counter_is_asked_gets_nothing_more() -> None:
     bench = counting()
     name, call = ask(bench)
-    bench.feed(api.Abandoned(name))
+    bench.feed(api.RequestAbandoned(name))
     assert bench.feed(api.CounterReply(call.name, True, 1.0)) == []
     assert bench.feed(api.CounterReply(call.name, True, 1.0)) == []  # a reply that nobody waits for
     assert bench.gateway.admission.shared.pending == {} and bench.gateway.requests == {}
@@ -391,7 +395,7 @@
     assert [type(a) for a in bench.feed(api.CounterReply(call.name, False, 0.0))] == [api.Send]
     name, call = ask(bench)
     assert call.amount == 2.0  # with that of the one that was let in unreported
-    bench.feed(api.Abandoned(name))
+    bench.feed(api.RequestAbandoned(name))
     bench.feed(api.CounterReply(call.name, True, 2.0))
     assert ask(bench)[1].amount == 0.0
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -32,7 +32,7 @@
 from coralvale.net.discovery import TURNS, Discovery
 from coralvale.net.node import TOLD
 
-News = tuple[api.ListKind, tuple[api.Server, ...], list[Place]]
+News = tuple[api.ListKind, tuple[api.HostInfo, ...], list[Place]]
 
 
 @dataclass
@@ -73,7 +73,7 @@
         async with bench() as b:
             kind, servers, _ = await b.told()
             assert kind is api.ListKind.CACHED
-            assert servers[0] == api.Server("s-1", api.ServerState.HEALTHY, 1.0, zone=1, cell=1, kind=1)
+            assert servers[0] == api.HostInfo("s-1", api.HostState.HEALTHY, 1.0, zone=1, cell=1, kind=1)
             watch = await b.registry.watch()
             assert watch.message.first == b"GET /discovery/hosts?stream=1&index=41 HTTP/1.1"
 
@@ -91,10 +91,10 @@
             )
             kind, servers, stale = await b.told()
             assert kind is api.ListKind.CHANGES and stale == [("s-1", 0.0, ("127.0.0.1", 1))]
-            assert servers[0].state is api.ServerState.DRAINING
+            assert servers[0].state is api.HostState.DRAINING
             assert (servers[1].zone, servers[1].started_at) == (0, 1.5)
             _, (gone,), stale = await b.told()
-            assert gone.state is api.ServerState.GONE and ("s-2", 0.0, ("127.0.0.1", 2)) in stale
+            assert gone.state is api.HostState.GONE and ("s-2", 0.0, ("127.0.0.1", 2)) in stale
             assert set(b.discovery.endpoints) == {"s-1", "s-3"}
             watch.reply(chunk(line(50, entry("s-4", 4), snapshot=True)))
             kind, _, _ = await b.told()
@@ -170,7 +170,7 @@
             assert asyncio.get_running_loop().time() - returned < 1.0
             watch.reply(chunk(line(42, entry("s-1", 1, status="leaving"))))
             await b.told()
-            assert (await b.told())[1][0].state is api.ServerState.DRAINING
+            assert (await b.told())[1][0].state is api.HostState.DRAINING
 
     run(test())
 
@@ -267,8 +267,8 @@
         await agent.start()
         heard = loop.create_future()
 
-        def on_change(kind: api.ListKind, servers: tuple[api.Server, ...], stale: list[Place]) -> None:
-            if any(s.state is api.ServerState.DRAINING for s in servers) and not heard.done():
+        def on_change(kind: api.ListKind, servers: tuple[api.HostInfo, ...], stale: list[Place]) -> None:
+            if any(s.state is api.HostState.DRAINING for s in servers) and not heard.done():
                 heard.set_result(loop.time())
 
         limits = {"callers": callers, "grace": 1.0, "told_within": TOLD}
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -7,33 +7,33 @@
 
 from coralvale import interface as api
 
-UNSAFE = replace(READ, repeat=api.Repeat.UNSAFE)
+UNSAFE = replace(READ, idempotency=api.Idempotency.UNSAFE)
 
 
 def test_a_server_without_connections_is_passed_over_and_found_again() -> None:
     bench = Bench()
     name, actions = bench.request()
-    bad = actions[0].server
+    bad = actions[0].host
     (again,) = bench.done(name, api.Outcome.CONNECT_FAILED)
     bench.done(name, attempt=1)
     for customer in range(10, 14):
         name, actions = bench.request(customer=customer)
-        assert actions[0].server == again.server != bad
+        assert actions[0].host == again.host != bad
     bench.wait(9.0)
-    servers = {bench.request(customer=c)[1][0].server for c in range(20, 30)}
+    servers = {bench.request(customer=c)[1][0].host for c in range(20, 30)}
     assert bad in servers
 
 
 def test_a_silent_server_is_passed_over() -> None:
     bench = Bench()
     _, actions = bench.request()
-    silent = actions[0].server
+    silent = actions[0].host
     for customer in range(50):
         bench.wait(0.1)
         name, actions = bench.request(customer=100 + customer)
-        if actions[0].server != silent:
+        if actions[0].host != silent:
             bench.done(name)
-    assert actions[0].server != silent
+    assert actions[0].host != silent
 
 
 def test_no_connection_anywhere_does_not_use_up_the_retry_budget() -> None:
@@ -46,7 +46,7 @@
         name, actions = bench.request(customer=customer)
         attempt = 0
         while actions and isinstance(actions[0], api.Send):
-            if actions[0].server == "s0":
+            if actions[0].host == "s0":
                 bench.done(name, attempt=attempt)
                 served += 1
                 break
@@ -106,7 +106,7 @@
     for customer in range(300):
         bench.wait(0.02)
         name, actions = bench.request(customer=customer, expires_at=bench.now + 60.0)
-        if isinstance(actions[0], api.Send) and actions[0].server == "well":
+        if isinstance(actions[0], api.Send) and actions[0].host == "well":
             held.append(name)
         if len(held) > 4:
             bench.done(held.pop(0), delay=0.1)
@@ -132,11 +132,11 @@
 def test_a_server_back_from_a_pause_is_tried_singly() -> None:
     bench = Bench(servers=tuple(server(f"s{i}") for i in range(4)))
     name, actions = bench.request()
-    bad = actions[0].server
+    bad = actions[0].host
     bench.done(name, api.Outcome.CONNECT_FAILED)
     bench.done(name, attempt=1)
     bench.wait(1.0)
-    sends = [bench.request(customer=c)[1][0].server for c in range(10, 22)]
+    sends = [bench.request(customer=c)[1][0].host for c in range(10, 22)]
     assert sends.count(bad) == 1
 
 
@@ -171,7 +171,7 @@
         for customer in range(10):
             name, actions = bench.request(customer=customer)
             bench.done(name)
-            sent[1.0 + int(actions[0].server[1:]) % 2] += 1
+            sent[1.0 + int(actions[0].host[1:]) % 2] += 1
     assert 1.4 < sent[2.0] / sent[1.0] < 2.4
 
 
@@ -189,17 +189,17 @@
     for customer in range(40):
         name, actions = bench.request(customer=customer, expires_at=bench.now + 0.5)
         if isinstance(actions[0], api.Send):
-            bench.done(name, api.Outcome.TIMEOUT, delay=0.5, finished=True)
+            bench.done(name, api.Outcome.TIMEOUT, delay=0.5, request_done=True)
     assert bench.gateway.usual[0] > 1.5 * before
     assert all(h.failures == 0 for h in bench.gateway.hosts.values())
 
 
 def test_reports_of_odd_length_or_value_change_nothing() -> None:
-    bench = Bench(report_fields=("queue", "qps"))
+    bench = Bench(load_report_fields=("queue", "qps"))
     for report in ((), (math.nan,), (math.inf, 1.0), (-5.0, -1.0), (1.0, 2.0, 3.0, 4.0)):
         name, actions = bench.request(customer=len(report) * 10 + bench.serial)
         assert isinstance(actions[0], api.Send)
-        bench.done(name, report=report)
+        bench.done(name, load_report=report)
     assert all(math.isfinite(h.reported) for h in bench.gateway.hosts.values())
 
 
@@ -212,9 +212,9 @@
     for customer in range(100):
         bench.wait(0.5)
         name, actions = bench.request(customer=customer)
-        bench.done(name, delay=3.0 if actions[0].server == slow else 0.1)
+        bench.done(name, delay=3.0 if actions[0].host == slow else 0.1)
     assert len(bench.gateway.near) == 12
-    sends = [a.server for a in bench.seen if isinstance(a, api.Send)]
+    sends = [a.host for a in bench.seen if isinstance(a, api.Send)]
     assert sends.count(slow) <= 5
 
 
@@ -228,8 +228,8 @@
         for name in names:
             bench.done(name, delay=0.01)
     bench.wait(1.0)
-    picked = {bench.request(customer=customer)[1][0].server for customer in range(200, 205)}
-    assert held.server in picked
+    picked = {bench.request(customer=customer)[1][0].host for customer in range(200, 205)}
+    assert held.host in picked
 
 
 def test_a_safe_request_is_tried_elsewhere_in_time_and_an_unsafe_one_waits() -> None:
@@ -241,11 +241,11 @@
             bench.done(name, delay=0.01)
         begun = bench.now
         _, (send, *_) = bench.request(customer=1000, expires_at=begun + 4.0)
-        assert (send.until < begun + cls.aim) == (cls is READ)
-        assert cls is UNSAFE or send.until > begun + cls.aim / 2  # slow ones may still come
+        assert (send.deadline < begun + cls.latency_target) == (cls is READ)
+        assert cls is UNSAFE or send.deadline > begun + cls.latency_target / 2  # slow ones may still come
 
 
-def many(count: int) -> tuple[api.Server, ...]:
+def many(count: int) -> tuple[api.HostInfo, ...]:
     return tuple(server(f"s{i}") for i in range(count))
 
 
@@ -265,8 +265,8 @@
 def test_a_change_of_the_list_leaves_most_connections_of_use() -> None:
     bench = Bench(servers=many(60), gateways=40, index=7)
     before = near(bench)
-    gone = api.Server("s59", api.ServerState.GONE)
-    bench.feed(api.ServerList(api.ListKind.CHANGES, (gone, server("t0"))))
+    gone = api.HostInfo("s59", api.HostState.GONE)
+    bench.feed(api.HostList(api.ListKind.CHANGES, (gone, server("t0"))))
     assert len(near(bench) & before) >= 10
 
 
@@ -275,8 +275,8 @@
     before = near(bench)
     for customer in range(40):
         name, (send, *_) = bench.request(customer=customer)
-        if send.server == min(before):
-            bench.done(name, api.Outcome.FULL, finished=False)
+        if send.host == min(before):
+            bench.done(name, api.Outcome.FULL, request_done=False)
             break
         bench.done(name)
     bench.wait(1.1)
@@ -288,6 +288,6 @@
     some = near(bench)
     for customer in range(20):
         name, actions = bench.request(customer=customer)
-        (again,) = bench.done(name, api.Outcome.CONNECT_FAILED, finished=False)
-        assert isinstance(again, api.Send) and again.server in some - {actions[0].server}
+        (again,) = bench.done(name, api.Outcome.CONNECT_FAILED, request_done=False)
+        assert isinstance(again, api.Send) and again.host in some - {actions[0].host}
         bench.done(name, attempt=1)
--- a/tests/test_meter.py
+++ b/tests/test_meter.py
@@ -68,7 +68,7 @@
 
 
 def test_true_units_correct_the_guess() -> None:
-    bench = Bench(settles_after=True)
+    bench = Bench(post_paid=True)
     name, _ = bench.request(units=1.0)
     bench.done(name, units=3.0)
     assert restrictor(bench).fill == 3.0
@@ -85,7 +85,7 @@
 
 
 def test_readings_and_units_that_are_no_amounts_are_skipped() -> None:
-    bench = Bench(settles_after=True)
+    bench = Bench(post_paid=True)
     for odd in (math.nan, math.inf, -math.inf, -0.5):
         name, _ = bench.request(entry_gateways=2)
         bench.done(name, usage=odd, units=odd)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -49,7 +49,7 @@
         return [api.Send(name, left.pop(0), w.node.clock.now() + until_in)] if left else [api.Fail(name)]
 
     w.script.on(api.Request, lambda e: next_to(e.id))
-    w.script.on(api.AttemptDone, lambda e: [] if e.finished else next_to(e.request))
+    w.script.on(api.AttemptDone, lambda e: [] if e.request_done else next_to(e.request))
 
 
 @pytest.mark.parametrize(("cls", "method"), [("read", b"GET"), ("write", b"POST")])
@@ -72,7 +72,7 @@
             assert message.status == 200 and message.body == reply
             assert message.headers[b"content-type"] == b"a/b" and b"usage-percent" not in message.headers
             done = await w.done()
-            assert (done.attempt, done.outcome, done.finished, done.usage) == (0, Outcome.OK, True, 0.85)
+            assert (done.attempt, done.outcome, done.request_done, done.usage) == (0, Outcome.OK, True, 0.85)
             assert not w.node.held
         host.stop()
 
@@ -93,7 +93,7 @@
             assert [d.attempt for d in w.script.of(api.AttemptDone)] == [0, 1, 2]
             outcomes = [d.outcome for d in w.script.of(api.AttemptDone)]
             assert outcomes == [Outcome.FULL, Outcome.RESET, Outcome.NOT_SENT]
-            assert not done.finished and not w.node.held
+            assert not done.request_done and not w.node.held
         host.stop()
 
     run(test())
@@ -119,7 +119,7 @@
     async def test() -> None:
         async with world() as w:
             message = await w.ask(request(X_Timeout="0.1"))
-            assert message.status == 503 and w.script.of(api.Abandoned) == [api.Abandoned("r1")]
+            assert message.status == 503 and w.script.of(api.RequestAbandoned) == [api.RequestAbandoned("r1")]
             w.script.on(api.Request, lambda e: [api.Refuse(e.id, 0.1), api.Fail(e.id), api.Refuse(e.id)])
             client = await w.client()
             assert (await client.ask(request("r2"))).headers[b"retry-after"] == b"0.100"
@@ -137,11 +137,11 @@
             client.send(request())
             arrived = await host.next()
             client.close()
-            await until(lambda: w.script.of(api.Abandoned))
+            await until(lambda: w.script.of(api.RequestAbandoned))
             assert w.node.held and not w.script.of(api.AttemptDone)
             arrived.reply(answer())
             done = await w.done()
-            assert done.outcome is Outcome.OK and done.finished and not w.node.held
+            assert done.outcome is Outcome.OK and done.request_done and not w.node.held
         host.stop()
 
     run(test())
@@ -177,10 +177,10 @@
             client = await w.client()
             client.send(request())
             await soon(started.wait())
-            seen = len(w.script.of(api.ServerList))
+            seen = len(w.script.of(api.HostList))
             if change == "client":
                 client.close()
-                await until(lambda: w.script.of(api.Abandoned))
+                await until(lambda: w.script.of(api.RequestAbandoned))
             elif change != "none":
                 more = {
                     "left": {"status": "left"},
@@ -189,7 +189,7 @@
                     "moved": {"address": "127.0.0.1:1"},
                 }[change]
                 watch.reply(chunk(line(42, {**known, **more})))
-                await until(lambda: len(w.script.of(api.ServerList)) > seen)
+                await until(lambda: len(w.script.of(api.HostList)) > seen)
             go.set()
             done = await w.done()
             if change == "none":
@@ -218,7 +218,7 @@
                     arrived = await first.next()
                     descriptor = arrived.writer.get_extra_info("socket").fileno()
                     os.write(descriptor, answer(503, X_Not_Processed="1"))
-            await until(lambda: w.script.of(api.Abandoned) and not w.node.held)
+            await until(lambda: w.script.of(api.RequestAbandoned) and not w.node.held)
             assert w.script.of(api.AttemptDone)[-1].outcome is Outcome.NOT_SENT
             assert host.arrived.qsize() == 1  # the one before
         host.stop()
@@ -247,7 +247,7 @@
                 await w.done(PIPELINED)
                 assert {e.outcome for e in w.script.of(api.AttemptDone)} == {Outcome.NOT_SENT}
                 assert host.arrived.empty()
-            await until(lambda: len(w.script.of(api.Abandoned)) == PIPELINED and not w.node.held)
+            await until(lambda: len(w.script.of(api.RequestAbandoned)) == PIPELINED and not w.node.held)
         host.stop()
 
     run(test())
@@ -312,7 +312,9 @@
     async def test() -> None:
         host = await Peer(answer()).start()
         async with world(entry("s-1", host.port)) as w:
-            w.script.on(api.Request, lambda e: [api.Probe("s-1"), api.Probe("none"), api.Count(5, 2.0, 1.0)])
+            w.script.on(
+                api.Request, lambda e: [api.Probe("s-1"), api.Probe("none"), api.CounterAdd(5, 2.0, 1.0)]
+            )
             (await w.client()).send(request())
             assert (await host.next()).message.first == b"GET /alive HTTP/1.1"
             await until(lambda: len(w.script.of(api.ProbeDone)) == 2)
@@ -419,7 +421,7 @@
             first.reply(answer(body=b"done"))
             assert (await client.receive()).body == b"done" and (await client.receive()).status == 400
             assert await client.at_end()
-            assert [e.request for e in w.script.of(api.Abandoned)] == ["r3"]
+            assert [e.request for e in w.script.of(api.RequestAbandoned)] == ["r3"]
             third.reply(answer(body=b"late"))
             done = await w.done(2)
             assert done.request == "r3" and not w.node.held
@@ -515,7 +517,7 @@
         host = await Peer().start()
         async with world(entry("s-1", host.port)) as w:
             started, go = hold_connects(w.node.upstreams)
-            w.script.on(api.Request, lambda e: [api.Count(7, 1.0, 4.0)])
+            w.script.on(api.Request, lambda e: [api.CounterAdd(7, 1.0, 4.0)])
             w.script.on(api.CounterReply, lambda e: [api.Send("r1", "s-1", 0.0)])
             client = await w.client()
             client.send(request("r1"))
--- a/tests/test_quota_books.py
+++ b/tests/test_quota_books.py
@@ -17,7 +17,7 @@
 
 def test_a_client_that_leaves_while_the_pool_is_asked_gives_its_quota_back() -> None:
     bench = QuotaBench()
-    name, _ = bench.request(plan=CEILING, entry_gateways=GATEWAYS)
+    name, _ = bench.request(plan_index=CEILING, entry_gateways=GATEWAYS)
     (call,) = bench.calls
     began = bench.gateway.admission.shared.pending[call.name][0].bucket.began
     bench.counter(call.amount + PLANS[CEILING].rate * (bench.now - began))
@@ -29,10 +29,10 @@
 def test_a_refund_gives_back_to_the_ceiling_what_was_taken_from_it() -> None:
     bench = QuotaBench(may_count=False)
     bench.wait(1.0)
-    names = [bench.request(plan=CEILING, entry_gateways=1)[0] for _ in range(80)]
+    names = [bench.request(plan_index=CEILING, entry_gateways=1)[0] for _ in range(80)]
     restrictor = bench.gateway.admission.restrictors[1]
     before = restrictor.ceiling
-    bench.request(plan=CEILING, entry_gateways=40)
+    bench.request(plan_index=CEILING, entry_gateways=40)
     bench.leave(names[0])
-    bench.done(names[0], api.Outcome.NOT_SENT, finished=False)
+    bench.done(names[0], api.Outcome.NOT_SENT, request_done=False)
     assert restrictor.ceiling <= before + 1.0, (before, restrictor.ceiling)
--- a/tests/test_quota_faults.py
+++ b/tests/test_quota_faults.py
@@ -19,10 +19,10 @@
 def test_a_request_of_a_plan_without_a_ceiling_takes_nothing_from_its_customer_s() -> None:
     bench = QuotaBench(may_count=False)
     bench.wait(1.0)
-    bench.request(plan=CAPPED, entry_gateways=1)
+    bench.request(plan_index=CAPPED, entry_gateways=1)
     restrictor = bench.gateway.admission.restrictors[1]
     before = restrictor.ceiling
-    bench.request(plan=BASIC, entry_gateways=1)
+    bench.request(plan_index=BASIC, entry_gateways=1)
     assert restrictor.ceiling == before
 
 
@@ -98,7 +98,7 @@
 def test_an_idle_customer_s_restrictor_is_dropped_whatever_its_plan(plan: int) -> None:
     bench = QuotaBench(may_count=False)
     bench.wait(1.0)  # one that has just started lets nothing in by a ceiling
-    name, _ = bench.request(plan=plan)
+    name, _ = bench.request(plan_index=plan)
     bench.answer(name)
     bench.wait(2 * IDLE)
     assert bench.gateway.admission.restrictors == {}
@@ -130,7 +130,7 @@
         (call,) = bench.open_calls()
         bench.calls.clear()
         for action in bench.feed(api.CounterReply(call.action.name, True, total)):
-            if isinstance(action, api.Count):
+            if isinstance(action, api.CounterAdd):
                 assert abs(action.amount) <= MOST_AMOUNT
         bench.calls.clear()
         bench.gateway.admission.shared.pending.clear()
@@ -150,7 +150,7 @@
 
 
 def test_a_correction_of_true_units_reaches_the_shared_bucket() -> None:
-    bench = LedgerBench(settles_after=True, most_units=8.0)
+    bench = LedgerBench(post_paid=True, max_units=8.0)
     name = bench.ask(units=2.0)
     bench.feed_total()
     bench.tickets[name].units = 5.0
--- a/tests/test_quota_input.py
+++ b/tests/test_quota_input.py
@@ -50,13 +50,13 @@
             "plans": PLANS,
             "may_count": True,
             "counter_timeout": COUNTER_TIMEOUT,
-            "settles_after": True,
-            "most_units": MOST_UNITS,
+            "post_paid": True,
+            "max_units": MOST_UNITS,
         }
         self.random = random.Random(seed)
         self.ends: dict[str, list[str]] = {}  # by request: how it ended, which must be once
         self.attempts: dict[str, int] = {}  # by request: number of its attempt that is out
-        self.calls: list[api.Count] = []  # without a reply so far
+        self.calls: list[api.CounterAdd] = []  # without a reply so far
         self.asked = dict[int, list[api.Request]]()  # by customer
         self.settled = dict[int, float]()  # by customer: guesses settled since its bucket last leaked
         self.true_units = 0.0  # told by answers
@@ -78,8 +78,8 @@
                 self.attempts[action.request] = self.attempts.get(action.request, -1) + 1
             elif isinstance(action, api.Refuse | api.Fail):
                 self.end(action.request, type(action).__name__)
-                assert not isinstance(action, api.Refuse) or 0 <= action.advice <= 1.0
-            elif isinstance(action, api.Count):
+                assert not isinstance(action, api.Refuse) or 0 <= action.retry_after <= 1.0
+            elif isinstance(action, api.CounterAdd):
                 assert math.isfinite(action.amount)
                 self.calls.append(action)
         self.check()
@@ -107,7 +107,7 @@
 
     def leave(self, name: str) -> None:
         self.end(name, "left")
-        self.feed(api.Abandoned(name))
+        self.feed(api.RequestAbandoned(name))
 
     def counter(self, total: float, ok: bool = True, **more: bool) -> list[api.Action]:
         """Replies to the oldest call."""
@@ -159,7 +159,7 @@
         if kind < 0.45:
             bench.request(
                 customer=lot.randrange(4),
-                plan=lot.randrange(len(PLANS)),
+                plan_index=lot.randrange(len(PLANS)),
                 entry_gateways=lot.choice(SET_SIZES),
                 units=lot.choice((1.0, MOST_UNITS)),
             )
@@ -232,7 +232,7 @@
 def test_an_odd_total_decides_the_request_once(total: float, ok: bool) -> None:
     for plan in (BASIC, CEILING):
         bench = QuotaBench()
-        name, _ = bench.request(plan=plan, entry_gateways=GATEWAYS)
+        name, _ = bench.request(plan_index=plan, entry_gateways=GATEWAYS)
         while bench.calls:  # those that put the bucket right are answered alike
             bench.counter(total, ok)
         assert bench.out() == [name] or bench.ends[name] == ["Refuse"]
@@ -272,7 +272,7 @@
 ) -> None:
     """One call is about the quota, a second one about the pool of the ceiling, where there is one."""
     bench = QuotaBench()
-    names = [bench.request(customer, plan=plan, entry_gateways=GATEWAYS)[0] for customer in range(30)]
+    names = [bench.request(customer, plan_index=plan, entry_gateways=GATEWAYS)[0] for customer in range(30)]
     bench.wait(calls * (2 * COUNTER_TIMEOUT + TICK) + 0.01)
     assert [n for n in names if not bench.ends[n] and n not in bench.attempts] == []
     bench.finish()
@@ -288,7 +288,7 @@
                 bench = QuotaBench()
                 for entries, amount in zip((first, second) * 4, units * 4, strict=True):
                     bench.trust_fully()
-                    name, _ = bench.request(plan=plan, entry_gateways=entries, units=amount)
+                    name, _ = bench.request(plan_index=plan, entry_gateways=entries, units=amount)
                     while bench.calls:
                         bench.counter(amount)
                     if name in bench.out():
@@ -305,9 +305,9 @@
 ) -> None:
     for first in (BASIC, CEILING):
         bench = QuotaBench()
-        one, _ = bench.request(plan=first, entry_gateways=GATEWAYS)
+        one, _ = bench.request(plan_index=first, entry_gateways=GATEWAYS)
         assert len(bench.calls) == 1
-        two, _ = bench.request(plan=second, entry_gateways=entries)
+        two, _ = bench.request(plan_index=second, entry_gateways=entries)
         while bench.calls and total is not None:
             bench.counter(total)
         bench.wait(2 * (2 * COUNTER_TIMEOUT + 2 * TICK) + 0.01)  # two calls each; one number, a tick each
@@ -354,7 +354,7 @@
                 bench = QuotaBench()
                 if plan == CEILING:  # over the even part of the ceiling, so that the pool is asked
                     bench.wait(0.01)
-                name, _ = bench.request(plan=plan, entry_gateways=GATEWAYS, units=MOST_UNITS)
+                name, _ = bench.request(plan_index=plan, entry_gateways=GATEWAYS, units=MOST_UNITS)
                 for _ in range(replies):
                     if bench.calls:
                         bench.counter(0.0)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,8 +6,10 @@
 
 from coralvale import interface as api
 
-KEYED = replace(READ, aim=4.0, repeat=api.Repeat.KEYED, group=api.Group.CELL, key_window=2.0)
-UNSAFE = replace(READ, repeat=api.Repeat.UNSAFE, key_window=9.0)
+KEYED = replace(
+    READ, latency_target=4.0, idempotency=api.Idempotency.KEYED, dedup_scope=api.DedupScope.CELL, key_ttl=2.0
+)
+UNSAFE = replace(READ, idempotency=api.Idempotency.UNSAFE, key_ttl=9.0)
 CAPPED = replace(PLAN, rate=10.0, burst=40.0, ceiling_rate=4.0, ceiling_burst=8.0)
 
 
@@ -34,8 +36,8 @@
     bench = Bench(classes=(UNSAFE,))
     name, _ = bench.request()
     bench.now += 4.0
-    assert bench.done(name, api.Outcome.TIMEOUT, finished=False) == [api.Fail(name)]
-    assert bench.done(name, api.Outcome.TIMEOUT, finished=False) == []
+    assert bench.done(name, api.Outcome.TIMEOUT, request_done=False) == [api.Fail(name)]
+    assert bench.done(name, api.Outcome.TIMEOUT, request_done=False) == []
 
 
 def test_repeated_unknown_and_late_outcomes_are_ignored() -> None:
@@ -45,7 +47,7 @@
     assert bench.done(name) == []
     assert bench.done(name, attempt=7) == []
     assert bench.done("never seen") == []
-    assert bench.feed(api.Abandoned("never seen")) == []
+    assert bench.feed(api.RequestAbandoned("never seen")) == []
     assert bench.feed(api.TimerFired(99)) == []
     assert bench.feed(api.CounterReply(5, True, 1.0)) == []
     assert bench.gateway.requests == {}
@@ -62,7 +64,7 @@
 def test_nothing_is_sent_for_a_request_whose_client_left() -> None:
     bench = Bench()
     name, _ = bench.request()
-    bench.feed(api.Abandoned(name))
+    bench.feed(api.RequestAbandoned(name))
     assert bench.done(name, api.Outcome.CONNECT_FAILED) == []
 
 
@@ -70,7 +72,7 @@
     bench = Bench(classes=(replace(READ, streamed=True),))
     name, _ = bench.request()
     bench.feed(api.StreamStarted(name, 0, 0.1))
-    assert bench.done(name, api.Outcome.RESET, finished=True) == []
+    assert bench.done(name, api.Outcome.RESET, request_done=True) == []
 
 
 # No effect happens twice
@@ -88,7 +90,7 @@
         bench = Bench(classes=(UNSAFE,))
         name, actions = bench.request()
         (again,) = only(bench.done(name, outcome), api.Send)
-        assert again.server != actions[0].server
+        assert again.host != actions[0].host
 
 
 def test_a_keyed_request_that_may_have_run_stays_in_its_group_and_window() -> None:
@@ -97,7 +99,7 @@
     bench = Bench(servers=servers, classes=(KEYED,))
     name, actions = bench.request()
     (again,) = only(bench.done(name, api.Outcome.ERROR), api.Send)
-    assert cells[again.server] == cells[actions[0].server]
+    assert cells[again.host] == cells[actions[0].host]
     bench.now += 2.0  # the window is counted from the first attempt that may have run
     assert bench.done(name, api.Outcome.ERROR, attempt=1) == [api.Fail(name)]
 
@@ -120,12 +122,12 @@
 
 def test_a_draining_or_gone_server_gets_nothing_new_at_once() -> None:
     for seed in range(20):
-        state = (api.ServerState.DRAINING, api.ServerState.GONE)[seed % 2]
+        state = (api.HostState.DRAINING, api.HostState.GONE)[seed % 2]
         bench = Bench(seed=seed)
-        bench.feed(api.ServerList(api.ListKind.CHANGES, (server("a", state=state),)))
+        bench.feed(api.HostList(api.ListKind.CHANGES, (server("a", state=state),)))
         for _ in range(4):
             name, actions = bench.request()
-            assert actions[0].server == "b"
+            assert actions[0].host == "b"
             bench.done(name)
 
 
@@ -133,13 +135,13 @@
     for seed in range(20):
         bench = Bench(seed=seed)
         bench.feed(full_list(server("b")))
-        assert bench.request()[1][0].server == "b"
+        assert bench.request()[1][0].host == "b"
 
 
 def test_a_failed_list_call_keeps_the_list_and_is_asked_again() -> None:
-    bench = Bench(ask_for_list=True)
+    bench = Bench(list_on_request=True)
     assert api.FollowList() in bench.seen
-    bench.feed(api.ServerList(api.ListKind.FAILED))
+    bench.feed(api.HostList(api.ListKind.FAILED))
     only(bench.request()[1], api.Send)
     assert api.FollowList() in bench.wait(2.0)
 
@@ -154,7 +156,7 @@
     for i in range(300):  # three seconds at a hundred a second, four of them out at any time
         bench.wait(0.01)
         name, actions = bench.request(customer=1000 + i)
-        sent[actions[0].server] += 1
+        sent[actions[0].host] += 1
         held.append(name)
         if len(held) > 4:
             bench.done(held.pop(0), delay=0.04)
@@ -164,13 +166,13 @@
 
 def test_a_server_that_restarts_is_cold_again() -> None:
     bench = Bench(servers=(server("a"),))
-    bench.feed(api.ServerList(api.ListKind.CHANGES, (server("a", started_at=bench.now),)))
+    bench.feed(api.HostList(api.ListKind.CHANGES, (server("a", started_at=bench.now),)))
     sends = [bench.request(customer=i)[1] for i in range(100)]
     assert 10 < sum(isinstance(a[0], api.Send) for a in sends) < 45  # a quarter of its capacity is sure
 
 
 def fleet_sends(
-    servers: tuple[api.Server, ...], gateways: int, each: int, **changes: object
+    servers: tuple[api.HostInfo, ...], gateways: int, each: int, **changes: object
 ) -> dict[str, int]:
     """What many gateways, each knowing only its own sends, send together within three seconds."""
     sent = dict.fromkeys((s.id for s in servers), 0)
@@ -180,7 +182,7 @@
             bench.wait(3.0 / each)
             name, actions = bench.request(customer=seed * 100 + i)
             if isinstance(actions[0], api.Send):
-                sent[actions[0].server] += 1
+                sent[actions[0].host] += 1
                 bench.done(name)
     return sent
 
@@ -202,7 +204,7 @@
     """36 of 60 are 29% warm: 30% of what the fleet can do, and no more than the rule's half each."""
     cold = tuple(server(f"c{i}", started_at=99.9) for i in range(36))
     servers = (*cold, *(server(f"w{i}") for i in range(24)))
-    sent = fleet_sends(servers, gateways=40, each=40, warm_after=30.0, fall_multiple=4.0)
+    sent = fleet_sends(servers, gateways=40, each=40, warm_up_time=30.0, overload_multiple=4.0)
     share = sum(sent[s.id] for s in cold) / sum(sent.values())
     assert 0.27 < share < 0.33
 
@@ -213,7 +215,7 @@
     bench.feed(full_list())
     only(bench.request(customer=8)[1], api.Refuse)
     for name in held:
-        only(bench.done(name, api.Outcome.RESET, finished=False), api.Refuse)
+        only(bench.done(name, api.Outcome.RESET, request_done=False), api.Refuse)
     bench.feed(full_list(server("s1")))
     only(bench.request(customer=9)[1], api.Send)
 
@@ -254,7 +256,7 @@
     first, _ = bench.request()
     bench.request()
     only(bench.request()[1], api.Refuse)
-    bench.feed(api.Abandoned(first))  # the client left, the attempt is still out
+    bench.feed(api.RequestAbandoned(first))  # the client left, the attempt is still out
     only(bench.request()[1], api.Refuse)
     bench.done(first, api.Outcome.TIMEOUT)
     only(bench.request()[1], api.Send)
@@ -269,4 +271,4 @@
         bench.wait(0.3)
     _, (send,) = bench.request()
     assert isinstance(send, api.Send)
-    assert bench.now + 0.9 < send.until <= bench.now + READ.aim - 0.02
+    assert bench.now + 0.9 < send.deadline <= bench.now + READ.latency_target - 0.02
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -26,7 +26,7 @@
             message = await w.ask(request("r7", "write", body=b"x", X_Timeout="0.480"))
             assert message.status == 503 and message.headers[b"retry-after"] == b"0.250"
             (event,) = w.script.of(api.Request)
-            assert (event.id, event.cls, event.plan, event.customer) == ("r7", 1, 0, 0xB4D65521)
+            assert (event.id, event.class_index, event.plan_index, event.customer) == ("r7", 1, 0, 0xB4D65521)
             assert (event.entry_gateways, event.units) == (2, 1.0)
             assert before < event.expires_at < w.node.clock.now() + 0.480
 
@@ -152,14 +152,14 @@
             client.send(request("r1"))
             await until(lambda: w.script.of(api.Request))
             client.close()
-            await until(lambda: w.script.of(api.Abandoned))
-            assert w.script.of(api.Abandoned) == [api.Abandoned("r1")]
+            await until(lambda: w.script.of(api.RequestAbandoned))
+            assert w.script.of(api.RequestAbandoned) == [api.RequestAbandoned("r1")]
             assert not w.node.held
             half = await w.client()
             half.send(request("r2")[:-10])
             half.close()
             await until(lambda: not w.node.server.connections)
-            assert len(w.script.of(api.Request)) == len(w.script.of(api.Abandoned)) == 1
+            assert len(w.script.of(api.Request)) == len(w.script.of(api.RequestAbandoned)) == 1
 
     run(test())
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -19,7 +19,7 @@
 SIZE = 1024
 
 
-def fleet() -> tuple[api.Server, ...]:
+def fleet() -> tuple[api.HostInfo, ...]:
     return tuple(server(f"s{i}") for i in range(SIZE))
 
 
--- a/tests/test_unknown_customers.py
+++ b/tests/test_unknown_customers.py
@@ -15,7 +15,7 @@
 
 def share_let_in(plan: api.Plan, sizes: tuple[float, ...]) -> dict[float, float]:
     """The share of first requests of new customers that is let in, by their units."""
-    bench = Bench(gateways=100, meter_period=0.0, plans=(plan,), most_units=4.0)
+    bench = Bench(gateways=100, meter_period=0.0, plans=(plan,), max_units=4.0)
     let_in = dict.fromkeys(sizes, 0)
     customer = 0
     for turn in range(ROUNDS + 100):
@@ -44,6 +44,6 @@
 
 
 def test_a_customer_of_whom_enough_is_known_is_let_in_whatever_the_size() -> None:
-    bench = Bench(gateways=100, meter_period=0.0, plans=(DEAR,), most_units=4.0)
+    bench = Bench(gateways=100, meter_period=0.0, plans=(DEAR,), max_units=4.0)
     for customer in range(200):
         assert api.Send in [type(a) for a in bench.request(customer=customer, units=4.0, entry_gateways=1)[1]]
