--- a/coralvale/logic.py
+++ b/coralvale/logic.py
@@ -254,7 +254,7 @@
     # Attempts and answers
 
     def _refuse(self, refused: Refused) -> None:
-        self.refused.count(refused.reason)
+        self.refused.record(refused.reason)
         wait, cls = refused.wait, self.settings.classes[refused.request.class_index]
         if refused.reason in QUOTA_REASONS:  # another of the customer's gateways may have room, and in time
             wait = min(wait, cls.latency_target * SOON)
--- a/coralvale/state.py
+++ b/coralvale/state.py
@@ -1,4 +1,4 @@
-"""What the decision module keeps while it waits; nothing in this file decides anything."""
+"""State that the decision module keeps between events; this file makes no decisions."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 
 class EventRate:
-    """How often own events of a kind come: a running mean of the gaps, the newest weighted by `weight`."""
+    """Rate of events, from an exponentially weighted moving average of the gaps between them.
+
+    `weight` is that of the newest gap.
+    """
 
     def __init__(self, weight: float) -> None:
         self.weight, self.mean_gap, self.last_at = weight, math.inf, -math.inf
@@ -25,7 +28,7 @@
         self.last_at = now
 
     def rate(self, now: float) -> float:
-        """Events a second; a gap that lasts longer than usual counts while it lasts."""
+        """Events a second; a current gap that exceeds the mean already lowers the rate."""
         gap = (
             self.mean_gap + self.weight * max(0.0, now - self.last_at - self.mean_gap)
             if self.mean_gap < math.inf
@@ -36,34 +39,36 @@
 
 @dataclass(slots=True)
 class Attempt:
-    host: Any  # the server that it went to
+    """One attempt of a request, outstanding until it is done."""
+
+    host: Any  # the `Host` that it was sent to
     sent_at: float
     done: bool = False
 
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A request in hand, kept until it is answered and no attempt is out."""
+    """A request, kept until it is answered and none of its attempts is outstanding."""
 
     request: api.Request
     arrived_at: float
     reservation: Reservation
     attempts: list[Attempt] = field(default_factory=list)
     may_have_run: Attempt | None = None  # the first attempt that may have run
-    is_open: bool = True
-    was_sent: bool = False  # an attempt was sent, as far as is known
+    is_open: bool = True  # not answered, and the client has not left
+    was_sent: bool = False  # an attempt was sent to a host, as far as is known
 
 
 class Reason(StrEnum):
-    """Why a request is refused, in the words of the log line."""
+    """Why a request is refused, as written in the log line."""
 
     ATTEMPTS_USED_UP = "attempts used up"
     CEILING = "ceiling"
     NO_HOST = "no server"
     OPEN_LIMIT = "open limit"
-    OVERLOAD = "pressed"
+    OVERLOAD = "pressed"  # the expected wait for a host is too long
     QUOTA = "quota"  # by this gateway's own bucket
-    SHARED_QUOTA = "quota counted"  # by the shared bucket
+    SHARED_QUOTA = "quota counted"  # by the bucket on the shared counter
     TOO_LATE = "too late"
 
 
@@ -80,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The request is refused, with the seconds after which it may be worth another try."""
+    """The request is refused; `wait` is the time in seconds after which a retry may succeed."""
 
     request: api.Request
     reason: Reason
@@ -90,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Pending:
-    """Nothing is decided on a request at this time; the actions are calls to the counter."""
+    """The decision awaits the shared counter's reply; the actions are the calls to it."""
 
     actions: tuple[api.Action, ...]
 
@@ -99,17 +104,17 @@
 
 
 class RefusalLog:
-    """Counts refusals by reason for the log line that on-call staff read."""
+    """Counts refusals by reason and summarises them in a log line every `interval` seconds."""
 
     def __init__(self, interval: float) -> None:
         self.interval, self.due_at = interval, math.inf
         self.counts: dict[Reason, int] = {}
 
-    def count(self, reason: Reason) -> None:
+    def record(self, reason: Reason) -> None:
         self.counts[reason] = self.counts.get(reason, 0) + 1
 
     def lines(self, now: float) -> list[api.Action]:
-        """The line that is due now, if any."""
+        """The log line, if it is due and there were refusals."""
         self.due_at = now + self.interval if self.due_at == math.inf else self.due_at
         if now < self.due_at:
             return []
