--- a/coralvale/interface.py
+++ b/coralvale/interface.py
@@ -113,7 +113,7 @@
     zone: int  # of this gateway
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
-    drain_grace: float  # s after the start of a drain by which requests must stop
+    drain_grace: float  # s after the start of a drain within which sending must stop
     cold_capacity: float  # share of its full capacity that a host has right after its start
     warm_up_time: float  # s until a host that has started has its full capacity
     # A cold host fails if, within `overload_window` seconds, it is sent more than `overload_multiple` times
