--- a/coralvale/admission.py
+++ b/coralvale/admission.py
@@ -10,14 +10,18 @@
 
 from coralvale import interface as api
 from coralvale.reservation import Reservation
-from coralvale.restrictor import STEP, Restrictor
+from coralvale.restrictor import RATE_UPDATE_INTERVAL_S, Restrictor
 from coralvale.shared_quota import Calls, PendingCall, SharedQuota, has_total
 from coralvale.state import Admitted, Decision, Pending, Reason, Refused
 
-RISK_AVERSION = 2.0  # times its net cost that a request beyond its quota counts, as its price is bounded too
-STEEPNESS = 3.0  # power with which the chance of a large request falls past the size that is borne
-UNITS_WEIGHT = 0.02  # of the newest request in the mean units of its plan
-IDLE = 60.0  # s after which an idle customer's restrictor is dropped, once its bucket is empty
+EXCESS_COST_FACTOR = (
+    2.0  # times its net cost that a request beyond its quota counts, as its price is bounded too
+)
+SIZE_PENALTY_EXPONENT = (
+    3.0  # power with which the chance of a large request falls past the size that is borne
+)
+MEAN_UNITS_EWMA_WEIGHT = 0.02  # of the newest request in the mean units of its plan
+IDLE_TIMEOUT_S = 60.0  # s after which an idle customer's restrictor is dropped, once its bucket is empty
 
 
 class Admission:
@@ -105,16 +109,16 @@
         return [api.CounterReply(name, False, 0.0, maybe_added=True) for name in self.shared.overdue(now)]
 
     def step(self, now: float) -> None:
-        """Sets all leak rates, once in STEP seconds, and drops the restrictors of idle customers."""
+        """Updates all leak rates, every RATE_UPDATE_INTERVAL_S, and drops idle customers' restrictors."""
         for customer, restrictor in list(self.restrictors.items()):
             restrictor.step(now)
-            if now - restrictor.seen_at > IDLE and restrictor.is_settled():
+            if now - restrictor.seen_at > IDLE_TIMEOUT_S and restrictor.is_settled():
                 del self.restrictors[customer]
 
     def _learn_units(self, request: api.Request) -> None:
         """Takes a request into the mean units of its plan, a plain mean until enough have come."""
         self.seen[request.plan_index] += 1
-        weight = max(UNITS_WEIGHT, 1 / self.seen[request.plan_index])
+        weight = max(MEAN_UNITS_EWMA_WEIGHT, 1 / self.seen[request.plan_index])
         self.mean_units[request.plan_index] += weight * (request.units - self.mean_units[request.plan_index])
 
     def _own_bucket(self, now: float, reservation: Reservation, sampled: bool = False) -> Decision:
@@ -127,7 +131,7 @@
                 return Admitted(reservation)
         if not sampled:  # one that stands for others does so only while the own bucket lets these in
             reservation.release()
-        return Refused(request, Reason.QUOTA, wait or STEP)
+        return Refused(request, Reason.QUOTA, wait or RATE_UPDATE_INTERVAL_S)
 
     def _chance_of_unknown(self, request: api.Request, restrictor: Restrictor) -> float:
         """How likely a request is let in of whose customer this gateway knows too little.
@@ -140,15 +144,15 @@
         if not restrictor.sparse(request.units, self.settings.meter_period > 0):
             return 1.0
         borne = max(
-            plan.burst / (1 + RISK_AVERSION * plan.net_excess_cost), self.mean_units[request.plan_index]
+            plan.burst / (1 + EXCESS_COST_FACTOR * plan.net_excess_cost), self.mean_units[request.plan_index]
         )
-        return min(1.0, borne / request.units) ** STEEPNESS
+        return min(1.0, borne / request.units) ** SIZE_PENALTY_EXPONENT
 
     def _pool_reply(
         self, now: float, event: api.CounterReply, call: PendingCall, reservation: Reservation
     ) -> Decision:
         """Lets in what the pool of the ceiling holds; without a total nothing is known to be left."""
-        wait, calls = STEP, Calls()
+        wait, calls = RATE_UPDATE_INTERVAL_S, Calls()
         if has_total(event):
             wait, calls = self.shared.settle(now, event, call)
             call.restrictor.pool_blocked_until = min(now + wait, call.bucket.ends)
--- a/coralvale/logic.py
+++ b/coralvale/logic.py
@@ -13,7 +13,7 @@
 from coralvale.admission import Admission
 from coralvale.health import LOST, NEWS, SILENCE, Host
 from coralvale.interface import Idempotency, Outcome
-from coralvale.restrictor import QUIET, STEP, Restrictor
+from coralvale.restrictor import RATE_UPDATE_INTERVAL_S, READING_MAX_AGE_S, Restrictor
 from coralvale.state import (
     QUOTA_REASONS,
     Admitted,
@@ -80,7 +80,7 @@
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         self.actions = []
         if self.admission.born is None:
-            self.admission.born, self.step_at = now, now + STEP * self.random.random()
+            self.admission.born, self.step_at = now, now + RATE_UPDATE_INTERVAL_S * self.random.random()
             self.actions.append(api.SetTimer(0, TICK))
             if self.settings.list_on_request:
                 self.actions.append(api.FollowList())
@@ -122,7 +122,7 @@
         self._sort(now)
         if (host := self._pick_cold(now) or self._pick(now)) is None:
             reservation.release()
-            return self._refuse(Refused(request, Reason.NO_HOST, STEP))
+            return self._refuse(Refused(request, Reason.NO_HOST, RATE_UPDATE_INTERVAL_S))
         reservation.charge()
         self.retries = min(1 + RETRY_SAVED * self.done.rate(now), self.retries + RETRY_SHARE)
         self.requests[request.id] = pending = PendingRequest(request, now, reservation)
@@ -168,7 +168,7 @@
 
     def _list(self, now: float, event: api.HostList) -> None:
         if event.kind is api.ListKind.FAILED:
-            self.ask_at = now + STEP * (0.5 + self.random.random())
+            self.ask_at = now + RATE_UPDATE_INTERVAL_S * (0.5 + self.random.random())
             return
         hosts = self.hosts if event.kind is api.ListKind.CHANGES else {}
         for info in event.hosts:
@@ -231,7 +231,7 @@
             pool = self.random.choices(pool, [h.scale for h in pool], k=drawn)
         best, least = None, math.inf
         for host in pool:
-            others = max(0.0, host.reported) if now - host.reported_at < QUIET / 2 else 0.0
+            others = max(0.0, host.reported) if now - host.reported_at < READING_MAX_AGE_S / 2 else 0.0
             wait = (1 + (len(host.out) + others) / host.scale) * host.slowness(now)
             wait *= 1 + 0.1 * self.random.random() + (0.02 if host.info.zone != self.settings.zone else 0)
             # Passing over most of a fleet would drown the rest, so ill ones are put last, not left out.
@@ -382,6 +382,6 @@
         for reply in self.admission.overdue(now):
             self._counted(now, reply)
         if now >= self.step_at:
-            self.step_at += STEP
+            self.step_at += RATE_UPDATE_INTERVAL_S
             self._settle()
             self.admission.step(now)
--- a/coralvale/restrictor.py
+++ b/coralvale/restrictor.py
@@ -7,23 +7,40 @@
 
 from coralvale import interface as api
 
-SMOOTH = 0.5  # weight of the newest second in own and metered use: two seconds of memory tame one odd reading
-STEP = 1.0  # s between new leak rates, as the design sets it
-DAMP = 0.5  # share of the way to the wanted leak rate taken at once, so that gateways do not chase each other
-GROWTH = 0.5  # most a leak rate grows in one step: a doubling takes two steps
-QUIET = 4.0  # s without a reading after which it is stale: the meter's usual lateness twice over
-EASE = 0.25  # share of the way back to the floor in each step without readings
-DEMAND_MEMORY = 8.0  # s over which a customer's asking here is averaged: its mean gap there is some seconds
-DEMAND_MEMORY_WIDE = 20.0  # s, the same where a gateway hears of a customer so seldom
-LIGHT, HEAVY = 0.4, 1.0  # times its quota that a customer asks for, by what it asks here: surely under, over
-EQUAL_COST = 1.0  # worths: net cost at which letting in wrongly costs as much as refusing wrongly
-SPARSE = 2.0  # times that a request is over the part of the burst where the bucket cannot know
-WIDE = 8  # gateways of a set past which each sees too little of the customer, whatever its burst
-SLACK = 0.25  # share of the burst that a shared bucket may run below empty before it is put right
-MOST_USE = 8.0  # times its quota: a reading over that says no more than that a customer is far over it
-POOLED = 0.4  # share of a wide set's ceiling that is pooled on the counter; the rest is in even parts
-LASTING = 15.0  # s for which readings tell what kind of customer it is, if not its use of this moment
-KNOWN = 20.0  # s for which one whose shared bucket was full gets nothing by this gateway's own
+USAGE_EWMA_WEIGHT = (
+    0.5  # weight of the newest second in own and metered use: two seconds of memory tame one odd reading
+)
+RATE_UPDATE_INTERVAL_S = 1.0  # s between new leak rates, as the design sets it
+RATE_DAMPING = (
+    0.5  # share of the way to the wanted leak rate taken at once, so that gateways do not chase each other
+)
+MAX_RATE_GROWTH = 0.5  # most a leak rate grows in one step: a doubling takes two steps
+READING_MAX_AGE_S = 4.0  # s without a reading after which it is stale: the meter's usual lateness twice over
+MIN_RATE_RETURN_SHARE = 0.25  # share of the way back to the floor in each step without readings
+DEMAND_TIME_CONSTANT_S = (
+    8.0  # s over which a customer's asking here is averaged: its mean gap there is some seconds
+)
+WIDE_SET_DEMAND_TIME_CONSTANT_S = 20.0  # s, the same where a gateway hears of a customer so seldom
+LIGHT_DEMAND, HEAVY_DEMAND = (
+    0.4,
+    1.0,
+)  # times its quota that a customer asks for, by what it asks here: surely under, over
+BREAK_EVEN_COST = 1.0  # worths: net cost at which letting in wrongly costs as much as refusing wrongly
+UNDERSAMPLED_UNITS_RATIO = (
+    2.0  # times that a request is over the part of the burst where the bucket cannot know
+)
+WIDE_SET_GATEWAYS = 8  # gateways of a set past which each sees too little of the customer, whatever its burst
+UNDERFLOW_TOLERANCE = (
+    0.25  # share of the burst that a shared bucket may run below empty before it is put right
+)
+MAX_USAGE = 8.0  # times its quota: a reading over that says no more than that a customer is far over it
+POOLED_CEILING_SHARE = (
+    0.4  # share of a wide set's ceiling that is pooled on the counter; the rest is in even parts
+)
+RECENT_USAGE_MAX_AGE_S = (
+    15.0  # s for which readings tell what kind of customer it is, if not its use of this moment
+)
+LOCAL_BLOCK_EXTRA_S = 20.0  # s for which one whose shared bucket was full gets nothing by this gateway's own
 
 
 @cache
@@ -62,15 +79,17 @@
         """Takes plan and set as a request names them: one that named others must not bind all that follow."""
         self.plan, self.entries = plan, max(1, entries)
         self.floor = plan.rate / self.entries
-        self.concentration = concentration(self.entries) if self.entries < WIDE else 1.0
-        self.memory = DEMAND_MEMORY_WIDE if self.entries >= WIDE else DEMAND_MEMORY
-        share = POOLED if self.may_count and self.entries >= WIDE else 0.0
+        self.concentration = concentration(self.entries) if self.entries < WIDE_SET_GATEWAYS else 1.0
+        self.memory = (
+            WIDE_SET_DEMAND_TIME_CONSTANT_S if self.entries >= WIDE_SET_GATEWAYS else DEMAND_TIME_CONSTANT_S
+        )
+        share = POOLED_CEILING_SHARE if self.may_count and self.entries >= WIDE_SET_GATEWAYS else 0.0
         self.ceiling_rate, self.ceiling_burst = (
             (1 - share) * plan.ceiling_rate,
             (1 - share) * plan.ceiling_burst,
         )
         # A pool may run below empty before it is put right, so it holds that much less.
-        self.pool = share * plan.ceiling_rate, share * plan.ceiling_burst / (1 + SLACK)
+        self.pool = share * plan.ceiling_rate, share * plan.ceiling_burst / (1 + UNDERFLOW_TOLERANCE)
 
     def is_settled(self) -> bool:
         """Whether nothing would be lost if the customer came back to a new restrictor."""
@@ -93,17 +112,19 @@
         # it is a request or two, and by chance two that belong together come to the same gateway.
         asks = self.demand * math.exp((self.demand_at - self.at) / self.memory) * self.entries / rate
         asks /= self.concentration
-        if self.entries >= WIDE and self.at - self.heard_at < LASTING:
+        if self.entries >= WIDE_SET_GATEWAYS and self.at - self.heard_at < RECENT_USAGE_MAX_AGE_S:
             asks = (self.recent_use + asks) / 2  # one reading is of half a second, own requests are few
-        spare = min(1.0, max(0.0, (HEAVY - asks) / (HEAVY - LIGHT)))
+        spare = min(1.0, max(0.0, (HEAVY_DEMAND - asks) / (HEAVY_DEMAND - LIGHT_DEMAND)))
         share = self.rate / rate
-        return max(units, self.plan.burst * (share + spare * (1 - share)) * (1 + EQUAL_COST) / (1 + cost))
+        return max(
+            units, self.plan.burst * (share + spare * (1 - share)) * (1 + BREAK_EVEN_COST) / (1 + cost)
+        )
 
     def hear(self, now: float, reading: float) -> None:
         """Takes down a reading of the meter: the customer's use over all gateways as a share of its rate."""
-        reading = min(reading, MOST_USE)
-        fresh = now - self.heard_at < LASTING
-        self.recent_use += (SMOOTH if fresh else 1.0) * (reading - self.recent_use)
+        reading = min(reading, MAX_USAGE)
+        fresh = now - self.heard_at < RECENT_USAGE_MAX_AGE_S
+        self.recent_use += (USAGE_EWMA_WEIGHT if fresh else 1.0) * (reading - self.recent_use)
         self.reading, self.heard_at = reading, now
 
     def note(self, now: float, units: float) -> None:
@@ -129,12 +150,14 @@
         Of many gateways each knows enough all the same whose part holds a request and which hears readings.
         """
         parts = self.plan.burst / (units * self.entries)
-        few = parts < 1 / SPARSE or (self.entries >= WIDE and not (metered and parts >= 1))
+        few = parts < 1 / UNDERSAMPLED_UNITS_RATIO or (
+            self.entries >= WIDE_SET_GATEWAYS and not (metered and parts >= 1)
+        )
         return self.plan.rate > 0 and few
 
     def spent(self, now: float) -> bool:
         """Whether the shared bucket was full of late: what is let in unreported would come on top."""
-        return now < self.blocked_until + KNOWN
+        return now < self.blocked_until + LOCAL_BLOCK_EXTRA_S
 
     def soft(self) -> bool:
         """Whether what is let in beyond the quota costs no more than it earns."""
@@ -184,13 +207,13 @@
     def step(self, now: float) -> None:
         """Sets the leak rate: own use times the quota over metered use of the same, late, time."""
         self.drain(now)
-        self.own_late += SMOOTH * (self.own - self.own_late)
-        self.own += SMOOTH * (self.passed / STEP - self.own)
+        self.own_late += USAGE_EWMA_WEIGHT * (self.own - self.own_late)
+        self.own += USAGE_EWMA_WEIGHT * (self.passed / RATE_UPDATE_INTERVAL_S - self.own)
         self.passed = 0.0
-        if now - self.heard_at > QUIET:
-            self.rate += EASE * (self.floor - self.rate)
+        if now - self.heard_at > READING_MAX_AGE_S:
+            self.rate += MIN_RATE_RETURN_SHARE * (self.floor - self.rate)
             return
-        self.use += SMOOTH * (self.reading - self.use)
-        grown = self.rate * (1 + GROWTH)
+        self.use += USAGE_EWMA_WEIGHT * (self.reading - self.use)
+        grown = self.rate * (1 + MAX_RATE_GROWTH)
         wanted = self.own_late / self.use if self.use > 0 else grown
-        self.rate += DAMP * (max(self.floor, min(wanted, grown, self.plan.rate)) - self.rate)
+        self.rate += RATE_DAMPING * (max(self.floor, min(wanted, grown, self.plan.rate)) - self.rate)
--- a/coralvale/shared_quota.py
+++ b/coralvale/shared_quota.py
@@ -15,30 +15,36 @@
 
 from coralvale import interface as api
 from coralvale.reservation import Reservation
-from coralvale.restrictor import SLACK, Restrictor
-
-NAME_LIFETIME = 60.0  # s that the counter keeps a name, the most that it allows
-NUMBER_LIFETIME = 50.0  # s that a number serves: each new one starts with a full burst
-STARTS = 97  # moments of a lifetime, spread over the customers, at which a new number begins
-LEAST_TIME = 4.0  # counter time-outs that a request must have left to wait for a reply
-LOST_AFTER = 2.0  # counter time-outs after which a reply is taken for lost
-UNDO_ABOVE = 0.5  # share of SLACK below empty, over which a fill-up was made twice
-TRUST_START = 0.75  # trust at the start: all gateways may start at once
-TRUST_ALL = 1.0  # trust from which on all customers are counted
-TRUST_EACH = 2.0  # trust from which on each request is asked about, and not a sample of the small ones
-CONGESTION_BORNE = 0.25  # mean at which the trust stays as it is: some wait means that it is well used
-TRUST_SWING = 1.0  # by which, for each second and unit of crowding off that, the logarithm of the trust moves
-TRUST_RETURN = 4.0  # the same where it is less crowded: a counter that was lost is soon used again
-CONGESTION_WEIGHT = 0.1  # of the newest call in the mean: gateways that judge by single calls disagree
-CONGESTION_MEMORY = 5.0  # s in which crowding that is not seen any more is forgotten
-BACKOFF = 0.25  # share of the time in which a gateway's even part of the quota leaks a refused request
-TRUST_LEAST = 0.05  # trust however crowded it is, to see when the counter has room again
-POOLS = 1 << 33  # past all customers' numbers
-GOLDEN = (math.sqrt(5) - 1) / 2  # spreads customers' numbers evenly over 0 to 1
-PRICE_WEIGHT = 0.05  # weight of the newest request in the mean price of their plans
-DELAY_DRIFT = 0.01  # share by which the least delay seen grows in a second: a counter may move
-MOST_AMOUNT = 1e9  # units that a call may add or take back: the counter turns away more
-NEW_NUMBER = 1e-6  # share of a call's amount that a total may exceed it by where nothing was added before
+from coralvale.restrictor import UNDERFLOW_TOLERANCE, Restrictor
+
+COUNTER_ENTRY_TTL_S = 60.0  # s that the counter keeps a name, the most that it allows
+COUNTER_ENTRY_ROTATION_S = 50.0  # s that a number serves: each new one starts with a full burst
+ROTATION_PHASES = 97  # moments of a lifetime, spread over the customers, at which a new number begins
+MIN_TIME_LEFT_TIMEOUTS = 4.0  # counter time-outs that a request must have left to wait for a reply
+REPLY_LOST_TIMEOUTS = 2.0  # counter time-outs after which a reply is taken for lost
+UNDO_FILL_UP_THRESHOLD = 0.5  # share of UNDERFLOW_TOLERANCE below empty, over which a fill-up was made twice
+INITIAL_COVERAGE = 0.75  # trust at the start: all gateways may start at once
+COVERAGE_ALL_CUSTOMERS = 1.0  # trust from which on all customers are counted
+COVERAGE_ALL_REQUESTS = (
+    2.0  # trust from which on each request is asked about, and not a sample of the small ones
+)
+TARGET_CONGESTION = 0.25  # mean at which the trust stays as it is: some wait means that it is well used
+COVERAGE_DECREASE_RATE = (
+    1.0  # by which, for each second and unit of crowding off that, the logarithm of the trust moves
+)
+COVERAGE_INCREASE_RATE = 4.0  # the same where it is less crowded: a counter that was lost is soon used again
+CONGESTION_EWMA_WEIGHT = 0.1  # of the newest call in the mean: gateways that judge by single calls disagree
+CONGESTION_TIME_CONSTANT_S = 5.0  # s in which crowding that is not seen any more is forgotten
+BACKOFF_FACTOR = 0.25  # share of the time in which a gateway's even part of the quota leaks a refused request
+MIN_COVERAGE = 0.05  # trust however crowded it is, to see when the counter has room again
+POOL_KEY_OFFSET = 1 << 33  # past all customers' numbers
+GOLDEN_RATIO_CONJUGATE = (math.sqrt(5) - 1) / 2  # spreads customers' numbers evenly over 0 to 1
+MEAN_PRICE_EWMA_WEIGHT = 0.05  # weight of the newest request in the mean price of their plans
+MIN_DELAY_DRIFT_PER_S = 0.01  # share by which the least delay seen grows in a second: a counter may move
+MAX_CALL_UNITS = 1e9  # units that a call may add or take back: the counter turns away more
+NEW_ENTRY_TOLERANCE = (
+    1e-6  # share of a call's amount that a total may exceed it by where nothing was added before
+)
 Calls = list[api.Action]  # calls to the counter, to be made in this order
 
 
@@ -55,7 +61,7 @@
     @property
     def ends(self) -> float:
         """When another number takes its place: what this one's total tells is worth nothing from then on."""
-        return self.began + NUMBER_LIFETIME
+        return self.began + COUNTER_ENTRY_ROTATION_S
 
     def before(self, now: float, total: float, amount: float) -> float:
         """The fill ahead of a call; below nought where what was not used has added up."""
@@ -88,7 +94,7 @@
 
 def _bounded(amount: float) -> float:
     """An amount that one call may have; what is over waits for the next."""
-    return max(-MOST_AMOUNT, min(MOST_AMOUNT, amount))
+    return max(-MAX_CALL_UNITS, min(MAX_CALL_UNITS, amount))
 
 
 class SharedQuota:
@@ -98,8 +104,8 @@
         self.settings, self.random = settings, rng
         self.pending: dict[int, deque[PendingCall]] = {}  # by name, in the order in which totals come
         self.waiting: dict[str, Reservation] = {}  # by request: those that a reply will decide on
-        # Up to TRUST_ALL it is the share of the customers that are counted; from there on all are.
-        self.trust, self.updated_at = TRUST_START, -math.inf
+        # Up to COVERAGE_ALL_CUSTOMERS: the share of the customers that are counted; beyond it all are.
+        self.trust, self.updated_at = INITIAL_COVERAGE, -math.inf
         self.congestion = 0.0  # mean share of the way from the least delay to the time-out that calls take
         self.least_delay = math.inf  # s that a call takes when nobody else is served
         self.mean_price = 0.0  # mean price of the plans of requests that a call may decide on
@@ -111,17 +117,21 @@
         time_out, since = self.settings.counter_timeout, min(1.0, now - self.updated_at)
         since = 0.0 if self.updated_at == -math.inf else since
         self.updated_at = now
-        swing = TRUST_SWING if self.congestion > CONGESTION_BORNE else TRUST_RETURN
-        self.trust *= math.exp(swing * since * (CONGESTION_BORNE - self.congestion))
-        self.trust = max(TRUST_LEAST, min(TRUST_EACH, self.trust))
-        self.congestion *= math.exp(-since / CONGESTION_MEMORY)  # one that is not asked shows nothing
-        self.least_delay *= 1 + DELAY_DRIFT * since
+        swing = COVERAGE_DECREASE_RATE if self.congestion > TARGET_CONGESTION else COVERAGE_INCREASE_RATE
+        self.trust *= math.exp(swing * since * (TARGET_CONGESTION - self.congestion))
+        self.trust = max(MIN_COVERAGE, min(COVERAGE_ALL_REQUESTS, self.trust))
+        self.congestion *= math.exp(
+            -since / CONGESTION_TIME_CONSTANT_S
+        )  # one that is not asked shows nothing
+        self.least_delay *= 1 + MIN_DELAY_DRIFT_PER_S * since
         value = restrictor.plan.price
-        self.mean_price += PRICE_WEIGHT * (value - self.mean_price) if self.mean_price else value
+        self.mean_price += MEAN_PRICE_EWMA_WEIGHT * (value - self.mean_price) if self.mean_price else value
         # Where not all calls can be made, some customers are counted whole, by all of their gateways alike:
         # a bucket that is told of a part of the use is no better than none.
-        in_time = request.expires_at - now > LEAST_TIME * time_out
-        return in_time and request.customer * GOLDEN % 1 * self.mean_price < self.trust * value
+        in_time = request.expires_at - now > MIN_TIME_LEFT_TIMEOUTS * time_out
+        return (
+            in_time and request.customer * GOLDEN_RATIO_CONJUGATE % 1 * self.mean_price < self.trust * value
+        )
 
     def chance(self, units: float) -> float:
         """How likely a request of a counted customer is asked about: in a crowd, by its size.
@@ -129,7 +139,13 @@
         Most requests are small and most units are in large ones, so this spares most calls and few units.
         """
         share = min(1.0, units / self.settings.max_units) if self.settings.max_units < math.inf else 1.0
-        return min(1.0, share + (1 - share) * max(0.0, self.trust - TRUST_ALL) / (TRUST_EACH - TRUST_ALL))
+        return min(
+            1.0,
+            share
+            + (1 - share)
+            * max(0.0, self.trust - COVERAGE_ALL_CUSTOMERS)
+            / (COVERAGE_ALL_REQUESTS - COVERAGE_ALL_CUSTOMERS),
+        )
 
     def call(self, now: float, reservation: Reservation) -> Calls:
         """The call that shall decide on a counted customer's request, if it is drawn to be asked about."""
@@ -151,9 +167,12 @@
     def call_pool(self, now: float, reservation: Reservation) -> Calls:
         """The call that takes a request's units from the pool of a ceiling, if there is one."""
         request, restrictor = reservation.request, reservation.restrictor
-        if not restrictor.pool[0] or request.expires_at - now <= LEAST_TIME * self.settings.counter_timeout:
+        if (
+            not restrictor.pool[0]
+            or request.expires_at - now <= MIN_TIME_LEFT_TIMEOUTS * self.settings.counter_timeout
+        ):
             return []
-        name, began = self._number(now, request.customer + POOLS)
+        name, began = self._number(now, request.customer + POOL_KEY_OFFSET)
         bucket = Bucket(name, began, *restrictor.pool, pool=True)
         reservation.in_pool = request.units
         amount = self._carry(request.units, restrictor, pool=True)
@@ -161,8 +180,8 @@
 
     def _number(self, now: float, key: int) -> tuple[int, float]:
         """The number that serves a customer now, and when it began; not all begin at once."""
-        place = now / NUMBER_LIFETIME + key % STARTS / STARTS
-        return key << 24 | int(place) & 0xFFFFFF, now - place % 1 * NUMBER_LIFETIME
+        place = now / COUNTER_ENTRY_ROTATION_S + key % ROTATION_PHASES / ROTATION_PHASES
+        return key << 24 | int(place) & 0xFFFFFF, now - place % 1 * COUNTER_ENTRY_ROTATION_S
 
     def _carry(self, units: float, restrictor: Restrictor, pool: bool) -> float:
         """The amount of a call for so many units and those not told yet, as far as one call bears them."""
@@ -175,7 +194,7 @@
         self.pending.setdefault(call.bucket.name, deque()).append(call)
         if call.reservation:
             self.waiting[call.reservation.request.id] = call.reservation
-        return api.CounterAdd(call.bucket.name, call.amount, NAME_LIFETIME)
+        return api.CounterAdd(call.bucket.name, call.amount, COUNTER_ENTRY_TTL_S)
 
     # Replies
 
@@ -195,7 +214,7 @@
             took = min(now - call.at, time_out)
             self.least_delay = min(self.least_delay, took)
             congestion = (took - self.least_delay) / max(time_out - self.least_delay, 1e-3)
-        self.congestion += CONGESTION_WEIGHT * (congestion - self.congestion)
+        self.congestion += CONGESTION_EWMA_WEIGHT * (congestion - self.congestion)
         return call
 
     @staticmethod
@@ -235,8 +254,8 @@
         longer than a full bucket takes to drain, as nothing is known of it after that.
         """
         assert call.request
-        crowded = min(1.0, self.congestion / CONGESTION_BORNE)
-        turn = BACKOFF * call.request.units * call.restrictor.entries
+        crowded = min(1.0, self.congestion / TARGET_CONGESTION)
+        turn = BACKOFF_FACTOR * call.request.units * call.restrictor.entries
         return crowded * min(call.bucket.limit, turn) / call.bucket.rate
 
     def undo(self, now: float, event: api.CounterReply, call: PendingCall) -> Calls:
@@ -244,7 +263,10 @@
         if not (call.fills and has_total(event)):
             return []
         bucket = call.bucket
-        if bucket.before(now, event.total, call.amount) <= -UNDO_ABOVE * SLACK * bucket.limit:
+        if (
+            bucket.before(now, event.total, call.amount)
+            <= -UNDO_FILL_UP_THRESHOLD * UNDERFLOW_TOLERANCE * bucket.limit
+        ):
             return []
         return [self._enqueue(PendingCall(now, bucket, -call.amount, call.restrictor))]
 
@@ -252,10 +274,10 @@
         """The fill ahead of a call; what an idle customer has not used must not add up."""
         bucket = call.bucket
         before = bucket.before(now, event.total, call.amount)
-        if before >= -SLACK * bucket.limit:
+        if before >= -UNDERFLOW_TOLERANCE * bucket.limit:
             return before, []
         # Neither a restart nor a lost number may refill a ceiling.
-        is_new = event.total - call.amount <= NEW_NUMBER * abs(call.amount)
+        is_new = event.total - call.amount <= NEW_ENTRY_TOLERANCE * abs(call.amount)
         level = bucket.limit if bucket.pool and is_new else 0.0
         amount = _bounded(level - before)
         return level, [self._enqueue(PendingCall(now, bucket, amount, call.restrictor, fills=True))]
@@ -267,5 +289,5 @@
 
     def overdue(self, now: float) -> list[int]:
         """Names of calls whose reply was lost, one for each call: their requests must not wait for it."""
-        limit = LOST_AFTER * self.settings.counter_timeout
+        limit = REPLY_LOST_TIMEOUTS * self.settings.counter_timeout
         return [name for name, calls in self.pending.items() for call in calls if now - call.at > limit]
--- a/tests/quota_books.py
+++ b/tests/quota_books.py
@@ -16,8 +16,13 @@
 from helpers import PLAN, Bench
 
 from coralvale import interface as api
-from coralvale.admission import IDLE
-from coralvale.shared_quota import NUMBER_LIFETIME, POOLS, TRUST_EACH, PendingCall
+from coralvale.admission import IDLE_TIMEOUT_S
+from coralvale.shared_quota import (
+    COUNTER_ENTRY_ROTATION_S,
+    COVERAGE_ALL_REQUESTS,
+    POOL_KEY_OFFSET,
+    PendingCall,
+)
 
 GATEWAYS = 40
 MOST_UNITS = 8.0
@@ -178,7 +183,7 @@
 
     def _begin_anew(self) -> None:
         """One that is idle for longer than a number lives is forgotten, and its books with it."""
-        assert IDLE > NUMBER_LIFETIME and not self.calls and not self.out()
+        assert IDLE_TIMEOUT_S > COUNTER_ENTRY_ROTATION_S and not self.calls and not self.out()
         self.quota, self.pool = Account(), Account()
         self.tickets = {name: ticket for name, ticket in self.tickets.items() if not ticket.ended}
 
@@ -198,7 +203,7 @@
             self.calls.setdefault(action.name, deque()).append(call)
 
     def _account(self, name: int) -> Account:
-        return self.pool if name >> 24 >= POOLS else self.quota
+        return self.pool if name >> 24 >= POOL_KEY_OFFSET else self.quota
 
     # What the test makes happen
 
@@ -207,7 +212,7 @@
         for call in self.open_calls():
             call.changes |= {"plan"} if call.record.restrictor.plan is not PLANS[plan] else set()
             call.changes |= {"set"} if call.record.restrictor.entries != entries else set()
-        self.gateway.admission.shared.trust = TRUST_EACH
+        self.gateway.admission.shared.trust = COVERAGE_ALL_REQUESTS
         name = f"r{self.serial + 1}"
         self.tickets[name] = Ticket(units, plan, entries)
         self.request(CUSTOMER, id=name, plan_index=plan, entry_gateways=entries, units=units)
@@ -236,7 +241,7 @@
 
     def use_elsewhere(self, units: float, pool: bool = False) -> None:
         """Another gateway of the customer's set has let in so much."""
-        key = CUSTOMER + POOLS if pool else CUSTOMER
+        key = CUSTOMER + POOL_KEY_OFFSET if pool else CUSTOMER
         name, _ = self.gateway.admission.shared._number(self.now, key)
         account = self._account(name)
         account.totals[name] = account.totals.get(name, 0.0) + units
@@ -244,9 +249,9 @@
 
     def number_ends_in(self, pool: bool = False) -> float:
         """Seconds until another number serves the customer."""
-        key = CUSTOMER + POOLS if pool else CUSTOMER
+        key = CUSTOMER + POOL_KEY_OFFSET if pool else CUSTOMER
         _, began = self.gateway.admission.shared._number(self.now, key)
-        return began + NUMBER_LIFETIME - self.now
+        return began + COUNTER_ENTRY_ROTATION_S - self.now
 
     def pass_over_number_end(self, pool: bool = False) -> None:
         """Time goes on past the end of the number, and no timer is due before."""
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -7,7 +7,7 @@
 from helpers import PLAN, Bench
 
 from coralvale import interface as api
-from coralvale.shared_quota import CONGESTION_BORNE, NUMBER_LIFETIME, TRUST_EACH
+from coralvale.shared_quota import COUNTER_ENTRY_ROTATION_S, COVERAGE_ALL_REQUESTS, TARGET_CONGESTION
 
 MANY = 40  # gateways of a customer's set
 
@@ -110,7 +110,7 @@
 
 
 def test_what_two_gateways_fill_up_at_once_is_taken_back() -> None:
-    benches, calls, total = fleet(2, now=1000.0 + 0.9 * NUMBER_LIFETIME), [], 0.0
+    benches, calls, total = fleet(2, now=1000.0 + 0.9 * COUNTER_ENTRY_ROTATION_S), [], 0.0
     for bench in benches:
         total += ask(bench, customer=97)[1].amount
     for bench in benches:
@@ -134,7 +134,7 @@
 
 def test_a_crowded_counter_is_spared_calls_about_a_customer_that_was_refused() -> None:
     drained = PLAN.burst / PLAN.rate
-    for congestion, backoff in ((0.0, 0.0), (CONGESTION_BORNE / 2, drained / 2), (1.0, drained)):
+    for congestion, backoff in ((0.0, 0.0), (TARGET_CONGESTION / 2, drained / 2), (1.0, drained)):
         bench = counting()
         _, call = ask(bench)
         shared = bench.gateway.admission.shared
@@ -143,10 +143,10 @@
         full = PLAN.burst + PLAN.rate * (bench.now - bucket.began) + 0.1  # has room again in a moment
         bench.feed(api.CounterReply(call.name, True, full))
         refused_at = bench.now
-        shared.trust = TRUST_EACH
+        shared.trust = COVERAGE_ALL_REQUESTS
         while not isinstance(bench.request(entry_gateways=MANY)[1][0], api.CounterAdd):
             bench.now += 0.05
-            shared.trust = TRUST_EACH
+            shared.trust = COVERAGE_ALL_REQUESTS
         assert bench.now - refused_at == pytest.approx(backoff, abs=0.11)
 
 
@@ -168,13 +168,15 @@
         bench.now += 0.001 if customer == 0 else 0.01  # of the 0.05 that it may take
         empty = call.amount + PLAN.rate * (bench.now - bucket.began)
         assert [type(a) for a in bench.feed(api.CounterReply(call.name, True, empty))] == [api.Send]
-    assert bench.gateway.admission.shared.trust == TRUST_EACH
+    assert bench.gateway.admission.shared.trust == COVERAGE_ALL_REQUESTS
 
 
 def test_one_that_was_counted_full_gets_nothing_by_the_own_bucket() -> None:
     bench = counting()
     _, call = ask(bench)
-    bench.feed(api.CounterReply(call.name, True, call.amount + PLAN.rate * NUMBER_LIFETIME + PLAN.burst))
+    bench.feed(
+        api.CounterReply(call.name, True, call.amount + PLAN.rate * COUNTER_ENTRY_ROTATION_S + PLAN.burst)
+    )
     bench.wait(12.0)  # its next request here comes no sooner
     bench.gateway.admission.shared.trust = 0.0
     assert bench.gateway.admission.restrictors[1].wait(1.0) == 0.0
@@ -295,11 +297,11 @@
         _, call = ask(bench, customer=customer)
         bench.now += 0.03  # of the 0.05 that it may take, always
         bench.feed(api.CounterReply(call.name, True, call.amount))
-    assert bench.gateway.admission.shared.trust == TRUST_EACH
+    assert bench.gateway.admission.shared.trust == COVERAGE_ALL_REQUESTS
 
 
 def test_in_a_crowd_a_sample_of_the_small_requests_stands_for_all_of_them() -> None:
-    for trust, least, most in ((1.0, 0.2, 0.3), (1.5, 0.57, 0.68), (TRUST_EACH, 1.0, 1.0)):
+    for trust, least, most in ((1.0, 0.2, 0.3), (1.5, 0.57, 0.68), (COVERAGE_ALL_REQUESTS, 1.0, 1.0)):
         bench, amounts = counting(max_units=4.0), list[float]()
         for customer in range(1000):
             bench.gateway.admission.shared.trust = trust
--- a/tests/test_quota_faults.py
+++ b/tests/test_quota_faults.py
@@ -8,10 +8,10 @@
 from test_quota_input import OPEN_ONLY, QuotaBench
 
 from coralvale import interface as api
-from coralvale.admission import IDLE
+from coralvale.admission import IDLE_TIMEOUT_S
 from coralvale.logic import TICK
-from coralvale.restrictor import STEP
-from coralvale.shared_quota import MOST_AMOUNT
+from coralvale.restrictor import RATE_UPDATE_INTERVAL_S
+from coralvale.shared_quota import MAX_CALL_UNITS
 
 FAR_OFF = 1e8  # units that a total may be too high by, where a counter has kept what it should have lost
 
@@ -56,7 +56,7 @@
         name, _ = bench.request(entry_gateways=2, units=2.0)
         if name in bench.out():
             bench.answer(name, usage=1e300 if second == 20 else 0.5)
-        bench.wait(STEP)
+        bench.wait(RATE_UPDATE_INTERVAL_S)
         if second == 20:
             assert bench.gateway.admission.restrictors[1].rate < PLANS[BASIC].rate
     assert bench.gateway.admission.restrictors[1].use == pytest.approx(0.5, rel=0.1)
@@ -70,7 +70,7 @@
             name, _ = bench.request(entry_gateways=2, units=2.0)
             if name in bench.out():
                 bench.answer(name, usage=reading if second == 4 else 0.5)
-            bench.wait(STEP)
+            bench.wait(RATE_UPDATE_INTERVAL_S)
         rates.append(bench.gateway.admission.restrictors[1].rate)
     assert rates[0] == rates[1]
 
@@ -100,21 +100,21 @@
     bench.wait(1.0)  # one that has just started lets nothing in by a ceiling
     name, _ = bench.request(plan_index=plan)
     bench.answer(name)
-    bench.wait(2 * IDLE)
+    bench.wait(2 * IDLE_TIMEOUT_S)
     assert bench.gateway.admission.restrictors == {}
 
 
 def test_a_restrictor_is_kept_while_its_part_of_the_ceiling_is_short() -> None:
     """A plan whose ceiling takes longer to fill than a customer is remembered would get it anew."""
     plan = PLANS[CEILING]
-    seconds = 10 * IDLE
+    seconds = 10 * IDLE_TIMEOUT_S
     slow = type(plan)(plan.name, 100.0, 1e3, excess_cost=1.0, ceiling_rate=1e3 / seconds, ceiling_burst=1e3)
     bench = LedgerBench(may_count=False, plans=(slow,))
     bench.wait(2 * seconds)
     for _ in range(100):
         name = bench.ask(0, entries=1, units=8.0)
         bench.finish(name, api.Outcome.OK)
-    bench.wait(2 * IDLE)
+    bench.wait(2 * IDLE_TIMEOUT_S)
     restrictor = bench.gateway.admission.restrictors[1]
     assert restrictor.ceiling < slow.ceiling_burst
     bench.wait(seconds)
@@ -131,7 +131,7 @@
         bench.calls.clear()
         for action in bench.feed(api.CounterReply(call.action.name, True, total)):
             if isinstance(action, api.CounterAdd):
-                assert abs(action.amount) <= MOST_AMOUNT
+                assert abs(action.amount) <= MAX_CALL_UNITS
         bench.calls.clear()
         bench.gateway.admission.shared.pending.clear()
 
@@ -140,13 +140,13 @@
     bench = LedgerBench()
     bench.ask(entries=1)
     restrictor = bench.gateway.admission.restrictors[1]
-    restrictor.unreported = -2.5 * MOST_AMOUNT
+    restrictor.unreported = -2.5 * MAX_CALL_UNITS
     amounts = []
     for _ in range(3):
         bench.ask()
         amounts.append(bench.open_calls()[-1].action.amount)
-    assert amounts[:2] == [-MOST_AMOUNT, -MOST_AMOUNT]
-    assert sum(amounts) == pytest.approx(-2.5 * MOST_AMOUNT + 3.0)
+    assert amounts[:2] == [-MAX_CALL_UNITS, -MAX_CALL_UNITS]
+    assert sum(amounts) == pytest.approx(-2.5 * MAX_CALL_UNITS + 3.0)
 
 
 def test_a_correction_of_true_units_reaches_the_shared_bucket() -> None:
--- a/tests/test_quota_input.py
+++ b/tests/test_quota_input.py
@@ -12,7 +12,7 @@
 
 from coralvale import interface as api
 from coralvale.logic import TICK
-from coralvale.shared_quota import TRUST_EACH, TRUST_LEAST
+from coralvale.shared_quota import COVERAGE_ALL_REQUESTS, MIN_COVERAGE
 
 GATEWAYS = 1024
 MOST_UNITS = 8.0
@@ -64,7 +64,7 @@
         self.trust_fully()
 
     def trust_fully(self) -> None:
-        self.gateway.admission.shared.trust = TRUST_EACH
+        self.gateway.admission.shared.trust = COVERAGE_ALL_REQUESTS
 
     def feed(self, event: api.Event) -> list[api.Action]:
         if isinstance(event, api.Request):
@@ -130,7 +130,7 @@
         if not hasattr(self, "gateway"):
             return
         shared = self.gateway.admission.shared
-        assert TRUST_LEAST <= shared.trust <= TRUST_EACH
+        assert MIN_COVERAGE <= shared.trust <= COVERAGE_ALL_REQUESTS
         assert 0 <= shared.congestion <= 1
         assert shared.least_delay >= 0 and math.isfinite(shared.mean_price)
         for customer, restrictor in self.gateway.admission.restrictors.items():
