--- a/coralvale/logic.py
+++ b/coralvale/logic.py
@@ -79,8 +79,8 @@
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         self.actions = []
-        if self.admission.born is None:
-            self.admission.born, self.step_at = now, now + RATE_UPDATE_INTERVAL_S * self.random.random()
+        if self.admission.started_at is None:
+            self.admission.started_at, self.step_at = now, now + RATE_UPDATE_INTERVAL_S * self.random.random()
             self.actions.append(api.SetTimer(0, TICK))
             if self.settings.list_on_request:
                 self.actions.append(api.FollowList())
@@ -92,14 +92,14 @@
 
     def _arrive(self, now: float, request: api.Request) -> None:
         self.settings.check(request)
-        restrictor = self.admission.restrictor(now, request)
+        restrictor = self.admission.restrictor_for(now, request)
         if now >= request.expires_at:
             return self._refuse(Refused(request, Reason.TOO_LATE, 0.0))
         self._decided(now, self.admission.decide(now, request, restrictor))
-        return restrictor.note(now, request.units)
+        return restrictor.record_demand(now, request.units)
 
     def _counted(self, now: float, event: api.CounterReply) -> None:
-        if decision := self.admission.reply(now, event):
+        if decision := self.admission.handle_reply(now, event):
             self._decided(now, decision)
 
     def _decided(self, now: float, decision: Decision) -> None:
@@ -117,7 +117,7 @@
         if refused := self._guard(now, request, reservation.restrictor):
             reservation.release()
             return self._refuse(refused)
-        if decision := self.admission.over_ceiling(now, reservation):
+        if decision := self.admission.check_ceiling(now, reservation):
             return self._decided(now, decision)
         self._sort(now)
         if (host := self._pick_cold(now) or self._pick(now)) is None:
@@ -131,7 +131,7 @@
     def _guard(self, now: float, request: api.Request, restrictor: Restrictor) -> Refused | None:
         """Why a request that is within its quota is refused all the same, and for how long."""
         usual = self.usual[request.class_index]
-        if restrictor.open_full():
+        if restrictor.at_open_limit():
             return Refused(request, Reason.OPEN_LIMIT, usual)
         if request.expires_at - now < usual / 2:  # an answer would hardly come in time
             return Refused(request, Reason.TOO_LATE, usual)
@@ -264,7 +264,7 @@
     def _send(self, now: float, pending: PendingRequest, host: Host) -> None:
         host.out[pending.request.id, len(pending.attempts)] = now
         self.busy[host] = None
-        pending.reservation.restrictor.open += 1
+        pending.reservation.restrictor.open_attempts += 1
         pending.attempts.append(Attempt(host, now))
         self.actions.append(api.Send(pending.request.id, host.info.id, self._until(now, pending)))
 
@@ -289,7 +289,7 @@
                 pending.reservation.release()
 
     def _leave(self, now: float, event: api.RequestAbandoned | api.StreamStarted) -> None:
-        self.admission.leave(event.request)
+        self.admission.abandon_request(event.request)
         if pending := self.requests.get(event.request):
             self._close(event.request, pending)
 
@@ -306,10 +306,10 @@
         attempt.host.out.pop((event.request, event.attempt), None)
         if not attempt.host.out:
             self.busy.pop(attempt.host, None)
-        restrictor.open -= 1
+        restrictor.open_attempts -= 1
         pending.was_sent = pending.was_sent or event.outcome is not Outcome.NOT_SENT
         if event.usage is not None and 0 <= event.usage < math.inf:
-            restrictor.hear(now, event.usage)
+            restrictor.record_usage(now, event.usage)
         plausible = 0 < (event.units or 0) <= self.settings.max_units and event.units < math.inf
         if self.settings.post_paid and plausible:  # corrects the guess
             pending.reservation.correct(event.units)
@@ -379,9 +379,9 @@
             self.ask_at = 0.0
             self.actions.append(api.FollowList() if self.settings.list_on_request else api.FetchList())
         self.calm = [c * (1 + 0.01 * TICK) for c in self.calm]
-        for reply in self.admission.overdue(now):
+        for reply in self.admission.overdue_replies(now):
             self._counted(now, reply)
         if now >= self.step_at:
             self.step_at += RATE_UPDATE_INTERVAL_S
             self._settle()
-            self.admission.step(now)
+            self.admission.update_rates(now)
--- a/coralvale/reservation.py
+++ b/coralvale/reservation.py
@@ -18,28 +18,30 @@
 
     request: api.Request
     restrictor: Restrictor
-    in_shared: float = 0.0  # on the counter's number, in a call that is out, or to be told with the next one
-    in_pool: float = 0.0  # the same for the pool of the ceiling
-    in_bucket: float = 0.0  # in this gateway's own bucket
-    in_ceiling: float = 0.0  # of this gateway's own part of the ceiling
-    ceiling_most: float = 0.0  # units that this part held at most when they were taken
+    shared_units: float = (
+        0.0  # on the counter's number, in a call that is out, or to be told with the next one
+    )
+    pool_units: float = 0.0  # the same for the pool of the ceiling
+    local_units: float = 0.0  # in this gateway's own bucket
+    ceiling_tokens_taken: float = 0.0  # of this gateway's own part of the ceiling
+    max_ceiling_tokens: float = 0.0  # units that this part held at most when they were taken
     released: bool = False
 
     def charge(self) -> None:
         """Takes the units where no call has taken them, once a server has been chosen for the request."""
         restrictor, units = self.restrictor, self.request.units
-        self.in_bucket = restrictor.charge(units)
-        if not self.in_shared:
-            self.in_shared = restrictor.tell_let_in(units)
-        if not self.in_pool:
-            self.ceiling_most = restrictor.ceiling_burst
-            self.in_ceiling = restrictor.charge_ceiling(units)
+        self.local_units = restrictor.charge(units)
+        if not self.shared_units:
+            self.shared_units = restrictor.queue_admitted(units)
+        if not self.pool_units:
+            self.max_ceiling_tokens = restrictor.unpooled_ceiling_burst
+            self.ceiling_tokens_taken = restrictor.charge_ceiling(units)
 
     def correct(self, true_units: float) -> None:
         """Takes the true units that an answer tells: both buckets held a guess. A ceiling keeps it."""
         difference = true_units - self.request.units
         self.restrictor.fill += difference
-        self.in_shared += self.restrictor.tell_let_in(difference)
+        self.shared_units += self.restrictor.queue_admitted(difference)
 
     def release(self) -> None:
         """Gives all of it back: the request is refused after all, or ends without having been sent on."""
@@ -47,23 +49,23 @@
             return
         self.released = True
         restrictor = self.restrictor
-        restrictor.unreported -= self.in_shared  # taken back with the next call
-        restrictor.pool_unreported -= self.in_pool
-        restrictor.refund(self.request.units if self.in_bucket else 0.0, self.in_bucket)
-        restrictor.refund_ceiling(self.in_ceiling, self.ceiling_most)
+        restrictor.unreported_units -= self.shared_units  # taken back with the next call
+        restrictor.unreported_pool_units -= self.pool_units
+        restrictor.refund(self.request.units if self.local_units else 0.0, self.local_units)
+        restrictor.refund_ceiling(self.ceiling_tokens_taken, self.max_ceiling_tokens)
 
-    def not_added(self, amount: float, pool: bool) -> None:
+    def handle_call_not_added(self, amount: float, is_pool: bool) -> None:
         """A call for this request was surely not added: what it carried besides is told with the next one.
 
         Where the request has been released, its units are being taken back, so they are told as well.
         """
-        carried = amount if self.released else amount - (self.in_pool if pool else self.in_shared)
-        self.restrictor.tell_later(carried, pool)
-        self.keep_nothing(pool)
+        carried = amount if self.released else amount - (self.pool_units if is_pool else self.shared_units)
+        self.restrictor.queue_for_next_call(carried, is_pool)
+        self.clear_counter_units(is_pool)
 
-    def keep_nothing(self, pool: bool) -> None:
+    def clear_counter_units(self, is_pool: bool) -> None:
         """The counter holds no units of the request any more, or a call that takes them back is out."""
-        if pool:
-            self.in_pool = 0.0
+        if is_pool:
+            self.pool_units = 0.0
         else:
-            self.in_shared = 0.0
+            self.shared_units = 0.0
--- a/coralvale/shared_quota.py
+++ b/coralvale/shared_quota.py
@@ -53,32 +53,34 @@
     """A leaky bucket on the counter: its number, when that began by the clock of all gateways, the quota."""
 
     name: int
-    began: float
+    started_at: float
     rate: float
-    limit: float
-    pool: bool = False  # of a ceiling: a number that is new, or that the counter lost, begins full
+    burst: float
+    is_pool: bool = False  # of a ceiling: a number that is new, or that the counter lost, begins full
 
     @property
-    def ends(self) -> float:
+    def expires_at(self) -> float:
         """When another number takes its place: what this one's total tells is worth nothing from then on."""
-        return self.began + COUNTER_ENTRY_ROTATION_S
+        return self.started_at + COUNTER_ENTRY_ROTATION_S
 
-    def before(self, now: float, total: float, amount: float) -> float:
+    def fill_before(self, now: float, total: float, amount: float) -> float:
         """The fill ahead of a call; below nought where what was not used has added up."""
-        return total - amount - self.rate * (now - self.began)
+        return total - amount - self.rate * (now - self.started_at)
 
 
 @dataclass(slots=True)
 class PendingCall:
     """A call that waits for its total. Without a reservation it fills up or takes back."""
 
-    at: float
+    sent_at: float
     bucket: Bucket
     amount: float
     restrictor: Restrictor
     reservation: Reservation | None = None
-    others: float = 0.0  # units of the amount that stand for requests like it that are not asked about
-    fills: bool = False  # it fills up what an idle customer has not used
+    extrapolated_units: float = (
+        0.0  # units of the amount that stand for requests like it that are not asked about
+    )
+    is_fill_up: bool = False  # it fills up what an idle customer has not used
 
     @property
     def request(self) -> api.Request | None:
@@ -92,7 +94,7 @@
     return event.ok and math.isfinite(event.total)
 
 
-def _bounded(amount: float) -> float:
+def _clamp_amount(amount: float) -> float:
     """An amount that one call may have; what is over waits for the next."""
     return max(-MAX_CALL_UNITS, min(MAX_CALL_UNITS, amount))
 
@@ -105,35 +107,38 @@
         self.pending: dict[int, deque[PendingCall]] = {}  # by name, in the order in which totals come
         self.waiting: dict[str, Reservation] = {}  # by request: those that a reply will decide on
         # Up to COVERAGE_ALL_CUSTOMERS: the share of the customers that are counted; beyond it all are.
-        self.trust, self.updated_at = INITIAL_COVERAGE, -math.inf
+        self.coverage, self.updated_at = INITIAL_COVERAGE, -math.inf
         self.congestion = 0.0  # mean share of the way from the least delay to the time-out that calls take
-        self.least_delay = math.inf  # s that a call takes when nobody else is served
+        self.min_delay = math.inf  # s that a call takes when nobody else is served
         self.mean_price = 0.0  # mean price of the plans of requests that a call may decide on
 
     # Calls
 
-    def covers(self, now: float, request: api.Request, restrictor: Restrictor) -> bool:
+    def should_count(self, now: float, request: api.Request, restrictor: Restrictor) -> bool:
         """Whether the customer is counted, if the request can wait for a reply."""
-        time_out, since = self.settings.counter_timeout, min(1.0, now - self.updated_at)
-        since = 0.0 if self.updated_at == -math.inf else since
+        timeout, elapsed = self.settings.counter_timeout, min(1.0, now - self.updated_at)
+        elapsed = 0.0 if self.updated_at == -math.inf else elapsed
         self.updated_at = now
-        swing = COVERAGE_DECREASE_RATE if self.congestion > TARGET_CONGESTION else COVERAGE_INCREASE_RATE
-        self.trust *= math.exp(swing * since * (TARGET_CONGESTION - self.congestion))
-        self.trust = max(MIN_COVERAGE, min(COVERAGE_ALL_REQUESTS, self.trust))
+        adjustment_rate = (
+            COVERAGE_DECREASE_RATE if self.congestion > TARGET_CONGESTION else COVERAGE_INCREASE_RATE
+        )
+        self.coverage *= math.exp(adjustment_rate * elapsed * (TARGET_CONGESTION - self.congestion))
+        self.coverage = max(MIN_COVERAGE, min(COVERAGE_ALL_REQUESTS, self.coverage))
         self.congestion *= math.exp(
-            -since / CONGESTION_TIME_CONSTANT_S
+            -elapsed / CONGESTION_TIME_CONSTANT_S
         )  # one that is not asked shows nothing
-        self.least_delay *= 1 + MIN_DELAY_DRIFT_PER_S * since
-        value = restrictor.plan.price
-        self.mean_price += MEAN_PRICE_EWMA_WEIGHT * (value - self.mean_price) if self.mean_price else value
+        self.min_delay *= 1 + MIN_DELAY_DRIFT_PER_S * elapsed
+        price = restrictor.plan.price
+        self.mean_price += MEAN_PRICE_EWMA_WEIGHT * (price - self.mean_price) if self.mean_price else price
         # Where not all calls can be made, some customers are counted whole, by all of their gateways alike:
         # a bucket that is told of a part of the use is no better than none.
-        in_time = request.expires_at - now > MIN_TIME_LEFT_TIMEOUTS * time_out
+        in_time = request.expires_at - now > MIN_TIME_LEFT_TIMEOUTS * timeout
         return (
-            in_time and request.customer * GOLDEN_RATIO_CONJUGATE % 1 * self.mean_price < self.trust * value
+            in_time
+            and request.customer * GOLDEN_RATIO_CONJUGATE % 1 * self.mean_price < self.coverage * price
         )
 
-    def chance(self, units: float) -> float:
+    def sampling_probability(self, units: float) -> float:
         """How likely a request of a counted customer is asked about: in a crowd, by its size.
 
         Most requests are small and most units are in large ones, so this spares most calls and few units.
@@ -143,51 +148,51 @@
             1.0,
             share
             + (1 - share)
-            * max(0.0, self.trust - COVERAGE_ALL_CUSTOMERS)
+            * max(0.0, self.coverage - COVERAGE_ALL_CUSTOMERS)
             / (COVERAGE_ALL_REQUESTS - COVERAGE_ALL_CUSTOMERS),
         )
 
-    def call(self, now: float, reservation: Reservation) -> Calls:
+    def quota_call(self, now: float, reservation: Reservation) -> Calls:
         """The call that shall decide on a counted customer's request, if it is drawn to be asked about."""
         request, restrictor = reservation.request, reservation.restrictor
         # Units of a request that is not drawn are in the mean told by those that stand for it.
-        reservation.in_shared = request.units
-        chance = self.chance(request.units)
-        if chance < 1 and self.random.random() >= chance:
+        reservation.shared_units = request.units
+        probability = self.sampling_probability(request.units)
+        if probability < 1 and self.random.random() >= probability:
             return []
-        plan, (name, began) = restrictor.plan, self._number(now, request.customer)
-        bucket = Bucket(name, began, plan.rate, plan.burst)
+        plan, (name, started_at) = restrictor.plan, self._current_counter_entry(now, request.customer)
+        bucket = Bucket(name, started_at, plan.rate, plan.burst)
         # Those that are not asked about are decided on by the gateways' own buckets. The one that is stands
         # for them while these let requests in: units that nobody used would keep the shared bucket full.
-        stands_for = 1 / chance - 1 if restrictor.admits(now, request.units) else 0.0
-        others = request.units * stands_for
-        amount = self._carry(request.units + others, restrictor, pool=False)
-        return [self._enqueue(PendingCall(now, bucket, amount, restrictor, reservation, others))]
+        represented_requests = 1 / probability - 1 if restrictor.would_admit(now, request.units) else 0.0
+        extrapolated_units = request.units * represented_requests
+        amount = self._call_amount(request.units + extrapolated_units, restrictor, is_pool=False)
+        return [self._enqueue(PendingCall(now, bucket, amount, restrictor, reservation, extrapolated_units))]
 
-    def call_pool(self, now: float, reservation: Reservation) -> Calls:
+    def pool_call(self, now: float, reservation: Reservation) -> Calls:
         """The call that takes a request's units from the pool of a ceiling, if there is one."""
         request, restrictor = reservation.request, reservation.restrictor
         if (
-            not restrictor.pool[0]
+            not restrictor.pool_limits[0]
             or request.expires_at - now <= MIN_TIME_LEFT_TIMEOUTS * self.settings.counter_timeout
         ):
             return []
-        name, began = self._number(now, request.customer + POOL_KEY_OFFSET)
-        bucket = Bucket(name, began, *restrictor.pool, pool=True)
-        reservation.in_pool = request.units
-        amount = self._carry(request.units, restrictor, pool=True)
+        name, started_at = self._current_counter_entry(now, request.customer + POOL_KEY_OFFSET)
+        bucket = Bucket(name, started_at, *restrictor.pool_limits, is_pool=True)
+        reservation.pool_units = request.units
+        amount = self._call_amount(request.units, restrictor, is_pool=True)
         return [self._enqueue(PendingCall(now, bucket, amount, restrictor, reservation))]
 
-    def _number(self, now: float, key: int) -> tuple[int, float]:
+    def _current_counter_entry(self, now: float, key: int) -> tuple[int, float]:
         """The number that serves a customer now, and when it began; not all begin at once."""
-        place = now / COUNTER_ENTRY_ROTATION_S + key % ROTATION_PHASES / ROTATION_PHASES
-        return key << 24 | int(place) & 0xFFFFFF, now - place % 1 * COUNTER_ENTRY_ROTATION_S
+        rotation = now / COUNTER_ENTRY_ROTATION_S + key % ROTATION_PHASES / ROTATION_PHASES
+        return key << 24 | int(rotation) & 0xFFFFFF, now - rotation % 1 * COUNTER_ENTRY_ROTATION_S
 
-    def _carry(self, units: float, restrictor: Restrictor, pool: bool) -> float:
+    def _call_amount(self, units: float, restrictor: Restrictor, is_pool: bool) -> float:
         """The amount of a call for so many units and those not told yet, as far as one call bears them."""
-        untold = restrictor.pool_unreported if pool else restrictor.unreported
-        amount = _bounded(units + untold)
-        restrictor.tell_later(units - amount, pool)
+        unreported_units = restrictor.unreported_pool_units if is_pool else restrictor.unreported_units
+        amount = _clamp_amount(units + unreported_units)
+        restrictor.queue_for_next_call(units - amount, is_pool)
         return amount
 
     def _enqueue(self, call: PendingCall) -> api.CounterAdd:
@@ -198,7 +203,7 @@
 
     # Replies
 
-    def reply(self, now: float, event: api.CounterReply) -> PendingCall | None:
+    def match_reply(self, now: float, event: api.CounterReply) -> PendingCall | None:
         """The call that a reply is to; every one tells how crowded the counter is."""
         if not (calls := self.pending.get(event.name)):
             return None
@@ -207,44 +212,44 @@
             del self.pending[event.name]
         if call.request:
             del self.waiting[call.request.id]
-        self._book(event, call)
-        congestion, time_out = 1.0, max(self.settings.counter_timeout, 1e-3)
+        self._record_not_added(event, call)
+        congestion, timeout = 1.0, max(self.settings.counter_timeout, 1e-3)
         if event.ok:
             # Late replies tell of a crowded counter before it fails; calls that fail only crowd it more.
-            took = min(now - call.at, time_out)
-            self.least_delay = min(self.least_delay, took)
-            congestion = (took - self.least_delay) / max(time_out - self.least_delay, 1e-3)
+            delay = min(now - call.sent_at, timeout)
+            self.min_delay = min(self.min_delay, delay)
+            congestion = (delay - self.min_delay) / max(timeout - self.min_delay, 1e-3)
         self.congestion += CONGESTION_EWMA_WEIGHT * (congestion - self.congestion)
         return call
 
     @staticmethod
-    def _book(event: api.CounterReply, call: PendingCall) -> None:
+    def _record_not_added(event: api.CounterReply, call: PendingCall) -> None:
         """Books what was not added; a call that may have been is taken for added.
 
         Too many units in a pool only refuse; too few would let the ceiling be exceeded. So units that a pool
         may lack are not taken back from it.
         """
-        pool, reservation = call.bucket.pool, call.reservation
+        is_pool, reservation = call.bucket.is_pool, call.reservation
         if not event.ok and not event.maybe_added:
             if reservation:
-                reservation.not_added(call.amount, pool)
-            elif not call.fills:
-                call.restrictor.tell_later(call.amount, pool)
-        elif pool and reservation and not has_total(event):
+                reservation.handle_call_not_added(call.amount, is_pool)
+            elif not call.is_fill_up:
+                call.restrictor.queue_for_next_call(call.amount, is_pool)
+        elif is_pool and reservation and not has_total(event):
             if reservation.released:
-                call.restrictor.tell_later(reservation.in_pool, pool)
-            reservation.keep_nothing(pool)
+                call.restrictor.queue_for_next_call(reservation.pool_units, is_pool)
+            reservation.clear_counter_units(is_pool)
 
-    def settle(self, now: float, event: api.CounterReply, call: PendingCall) -> tuple[float, Calls]:
+    def apply_total(self, now: float, event: api.CounterReply, call: PendingCall) -> tuple[float, Calls]:
         """Seconds until the shared bucket has room, nought for now; and the calls that put it right."""
         assert call.reservation
-        before, calls = self._right(now, event, call)
-        bucket, amount = call.bucket, call.amount - call.others
-        wait = max(0.0, max(0.0, before) + amount - max(bucket.limit, amount)) / bucket.rate
+        before, calls = self._correct_underflow(now, event, call)
+        bucket, amount = call.bucket, call.amount - call.extrapolated_units
+        wait = max(0.0, max(0.0, before) + amount - max(bucket.burst, amount)) / bucket.rate
         if wait:  # takes nothing
             units = call.reservation.request.units
             calls.append(self._enqueue(PendingCall(now, bucket, -units, call.restrictor)))
-            call.reservation.keep_nothing(bucket.pool)
+            call.reservation.clear_counter_units(bucket.is_pool)
         return wait, calls
 
     def backoff(self, call: PendingCall) -> float:
@@ -254,40 +259,46 @@
         longer than a full bucket takes to drain, as nothing is known of it after that.
         """
         assert call.request
-        crowded = min(1.0, self.congestion / TARGET_CONGESTION)
-        turn = BACKOFF_FACTOR * call.request.units * call.restrictor.entries
-        return crowded * min(call.bucket.limit, turn) / call.bucket.rate
+        congestion_ratio = min(1.0, self.congestion / TARGET_CONGESTION)
+        backoff_units = BACKOFF_FACTOR * call.request.units * call.restrictor.entries
+        return congestion_ratio * min(call.bucket.burst, backoff_units) / call.bucket.rate
 
-    def undo(self, now: float, event: api.CounterReply, call: PendingCall) -> Calls:
+    def undo_fill_up(self, now: float, event: api.CounterReply, call: PendingCall) -> Calls:
         """Takes back what another gateway filled up at the same time."""
-        if not (call.fills and has_total(event)):
+        if not (call.is_fill_up and has_total(event)):
             return []
         bucket = call.bucket
         if (
-            bucket.before(now, event.total, call.amount)
-            <= -UNDO_FILL_UP_THRESHOLD * UNDERFLOW_TOLERANCE * bucket.limit
+            bucket.fill_before(now, event.total, call.amount)
+            <= -UNDO_FILL_UP_THRESHOLD * UNDERFLOW_TOLERANCE * bucket.burst
         ):
             return []
         return [self._enqueue(PendingCall(now, bucket, -call.amount, call.restrictor))]
 
-    def _right(self, now: float, event: api.CounterReply, call: PendingCall) -> tuple[float, Calls]:
+    def _correct_underflow(
+        self, now: float, event: api.CounterReply, call: PendingCall
+    ) -> tuple[float, Calls]:
         """The fill ahead of a call; what an idle customer has not used must not add up."""
         bucket = call.bucket
-        before = bucket.before(now, event.total, call.amount)
-        if before >= -UNDERFLOW_TOLERANCE * bucket.limit:
+        before = bucket.fill_before(now, event.total, call.amount)
+        if before >= -UNDERFLOW_TOLERANCE * bucket.burst:
             return before, []
         # Neither a restart nor a lost number may refill a ceiling.
         is_new = event.total - call.amount <= NEW_ENTRY_TOLERANCE * abs(call.amount)
-        level = bucket.limit if bucket.pool and is_new else 0.0
-        amount = _bounded(level - before)
-        return level, [self._enqueue(PendingCall(now, bucket, amount, call.restrictor, fills=True))]
+        target_fill = bucket.burst if bucket.is_pool and is_new else 0.0
+        amount = _clamp_amount(target_fill - before)
+        return target_fill, [
+            self._enqueue(PendingCall(now, bucket, amount, call.restrictor, is_fill_up=True))
+        ]
 
-    def leave(self, request: str) -> None:
+    def abandon_request(self, request: str) -> None:
         """A client has left: its call's reply decides nothing any more."""
         if reservation := self.waiting.pop(request, None):
             reservation.release()
 
-    def overdue(self, now: float) -> list[int]:
+    def overdue_calls(self, now: float) -> list[int]:
         """Names of calls whose reply was lost, one for each call: their requests must not wait for it."""
-        limit = REPLY_LOST_TIMEOUTS * self.settings.counter_timeout
-        return [name for name, calls in self.pending.items() for call in calls if now - call.at > limit]
+        max_age = REPLY_LOST_TIMEOUTS * self.settings.counter_timeout
+        return [
+            name for name, calls in self.pending.items() for call in calls if now - call.sent_at > max_age
+        ]
--- a/tests/quota_books.py
+++ b/tests/quota_books.py
@@ -80,11 +80,11 @@
 
     @property
     def is_pool(self) -> bool:
-        return self.record.bucket.pool
+        return self.record.bucket.is_pool
 
     @property
     def is_fill_up(self) -> bool:
-        return self.record.fills or self.undoes_fill_up
+        return self.record.is_fill_up or self.undoes_fill_up
 
     @property
     def uncertainty(self) -> float:
@@ -188,7 +188,7 @@
         self.tickets = {name: ticket for name, ticket in self.tickets.items() if not ticket.ended}
 
     def _take_call(self, action: api.CounterAdd, undoes: bool) -> None:
-        records = self.gateway.admission.shared.pending[action.name]
+        records = self.gateway.admission.shared_quota.pending[action.name]
         record = next(r for r in records if not any(r is known for known in self._records))
         assert record.amount == action.amount
         self._records.append(record)
@@ -212,7 +212,7 @@
         for call in self.open_calls():
             call.changes |= {"plan"} if call.record.restrictor.plan is not PLANS[plan] else set()
             call.changes |= {"set"} if call.record.restrictor.entries != entries else set()
-        self.gateway.admission.shared.trust = COVERAGE_ALL_REQUESTS
+        self.gateway.admission.shared_quota.coverage = COVERAGE_ALL_REQUESTS
         name = f"r{self.serial + 1}"
         self.tickets[name] = Ticket(units, plan, entries)
         self.request(CUSTOMER, id=name, plan_index=plan, entry_gateways=entries, units=units)
@@ -242,7 +242,7 @@
     def use_elsewhere(self, units: float, pool: bool = False) -> None:
         """Another gateway of the customer's set has let in so much."""
         key = CUSTOMER + POOL_KEY_OFFSET if pool else CUSTOMER
-        name, _ = self.gateway.admission.shared._number(self.now, key)
+        name, _ = self.gateway.admission.shared_quota._current_counter_entry(self.now, key)
         account = self._account(name)
         account.totals[name] = account.totals.get(name, 0.0) + units
         account.by_others += units
@@ -250,7 +250,7 @@
     def number_ends_in(self, pool: bool = False) -> float:
         """Seconds until another number serves the customer."""
         key = CUSTOMER + POOL_KEY_OFFSET if pool else CUSTOMER
-        _, began = self.gateway.admission.shared._number(self.now, key)
+        _, began = self.gateway.admission.shared_quota._current_counter_entry(self.now, key)
         return began + COUNTER_ENTRY_ROTATION_S - self.now
 
     def pass_over_number_end(self, pool: bool = False) -> None:
@@ -272,7 +272,7 @@
         elif fate is Fate.SPOILT:
             reply = api.CounterReply(name, True, math.nan)
         request = call.record.request
-        self._answered_fill_up = call.record.fills
+        self._answered_fill_up = call.record.is_fill_up
         actions = self.feed(reply)
         self._answered_fill_up = False
         if request and call.is_pool and any(isinstance(a, api.Send) for a in actions):
@@ -289,7 +289,7 @@
             account.uncertain += call.uncertainty
         if fate.is_added:
             account.totals[name] = account.totals.get(name, 0.0) + call.action.amount
-            account.fill_ups += call.action.amount if call.record.fills else 0.0
+            account.fill_ups += call.action.amount if call.record.is_fill_up else 0.0
         return account.totals.get(name, 0.0)
 
     def _record(self, call: OpenCall, fate: Fate) -> None:
@@ -303,7 +303,7 @@
             self._record(call, self._silence)
             self._settle(call, self._silence)
         self.calls.clear()
-        while self.gateway.admission.shared.pending:
+        while self.gateway.admission.shared_quota.pending:
             self.wait(0.1)
         self._silence = None
 
@@ -331,8 +331,8 @@
         restrictor = self.gateway.admission.restrictors.get(CUSTOMER)
         if restrictor is None:
             return
-        self._check("quota", self.quota, restrictor.unreported, self.sent_on(by_pool=False))
-        self._check("pool", self.pool, restrictor.pool_unreported, self.sent_on(by_pool=True))
+        self._check("quota", self.quota, restrictor.unreported_units, self.sent_on(by_pool=False))
+        self._check("pool", self.pool, restrictor.unreported_pool_units, self.sent_on(by_pool=True))
 
     @staticmethod
     def _check(kind: str, account: Account, untold: float, sent_on: float) -> None:
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -14,7 +14,7 @@
 
 def counting(**more: object) -> Bench:
     bench = Bench(gateways=100, may_count=True, counter_timeout=0.05, **more)
-    bench.gateway.admission.shared.trust = 1.0
+    bench.gateway.admission.shared_quota.coverage = 1.0
     return bench
 
 
@@ -114,7 +114,7 @@
     for bench in benches:
         total += ask(bench, customer=97)[1].amount
     for bench in benches:
-        (name,) = bench.gateway.admission.shared.pending
+        (name,) = bench.gateway.admission.shared_quota.pending
         calls += [a for a in bench.feed(api.CounterReply(name, True, total)) if isinstance(a, api.CounterAdd)]
     assert len(calls) == 2 and min(c.amount for c in calls) > PLAN.burst
     undone = []
@@ -137,16 +137,16 @@
     for congestion, backoff in ((0.0, 0.0), (TARGET_CONGESTION / 2, drained / 2), (1.0, drained)):
         bench = counting()
         _, call = ask(bench)
-        shared = bench.gateway.admission.shared
+        shared = bench.gateway.admission.shared_quota
         bucket = shared.pending[call.name][0].bucket
         shared.congestion = congestion
-        full = PLAN.burst + PLAN.rate * (bench.now - bucket.began) + 0.1  # has room again in a moment
+        full = PLAN.burst + PLAN.rate * (bench.now - bucket.started_at) + 0.1  # has room again in a moment
         bench.feed(api.CounterReply(call.name, True, full))
         refused_at = bench.now
-        shared.trust = COVERAGE_ALL_REQUESTS
+        shared.coverage = COVERAGE_ALL_REQUESTS
         while not isinstance(bench.request(entry_gateways=MANY)[1][0], api.CounterAdd):
             bench.now += 0.05
-            shared.trust = COVERAGE_ALL_REQUESTS
+            shared.coverage = COVERAGE_ALL_REQUESTS
         assert bench.now - refused_at == pytest.approx(backoff, abs=0.11)
 
 
@@ -154,7 +154,7 @@
     """A request that names a plan without a rate, by mistake, may come while the counter is asked."""
     bench = counting(plans=(PLAN, replace(PLAN, name="open", rate=0.0, burst=0.0, open_limit=2.0)))
     _, call = ask(bench)
-    bench.gateway.admission.shared.congestion = 1.0
+    bench.gateway.admission.shared_quota.congestion = 1.0
     bench.request(plan_index=1, entry_gateways=MANY)
     assert api.Refuse in [type(a) for a in bench.feed(api.CounterReply(call.name, True, 1e6))]
 
@@ -164,11 +164,11 @@
     for customer in range(100):
         bench.wait(0.1)
         _, call = ask(bench, customer=customer)
-        bucket = bench.gateway.admission.shared.pending[call.name][0].bucket
+        bucket = bench.gateway.admission.shared_quota.pending[call.name][0].bucket
         bench.now += 0.001 if customer == 0 else 0.01  # of the 0.05 that it may take
-        empty = call.amount + PLAN.rate * (bench.now - bucket.began)
+        empty = call.amount + PLAN.rate * (bench.now - bucket.started_at)
         assert [type(a) for a in bench.feed(api.CounterReply(call.name, True, empty))] == [api.Send]
-    assert bench.gateway.admission.shared.trust == COVERAGE_ALL_REQUESTS
+    assert bench.gateway.admission.shared_quota.coverage == COVERAGE_ALL_REQUESTS
 
 
 def test_one_that_was_counted_full_gets_nothing_by_the_own_bucket() -> None:
@@ -178,8 +178,8 @@
         api.CounterReply(call.name, True, call.amount + PLAN.rate * COUNTER_ENTRY_ROTATION_S + PLAN.burst)
     )
     bench.wait(12.0)  # its next request here comes no sooner
-    bench.gateway.admission.shared.trust = 0.0
-    assert bench.gateway.admission.restrictors[1].wait(1.0) == 0.0
+    bench.gateway.admission.shared_quota.coverage = 0.0
+    assert bench.gateway.admission.restrictors[1].bucket_wait(1.0) == 0.0
     assert [type(a) for a in bench.request(entry_gateways=MANY)[1]] == [api.Refuse]
 
 
@@ -198,12 +198,12 @@
     bench = counting()
     _, call = ask(bench)
     bench.feed(api.CounterReply(call.name, False, 0.0))  # turned away, and let in by the own bucket
-    bench.gateway.admission.shared.trust = 1.0
+    bench.gateway.admission.shared_quota.coverage = 1.0
     assert ask(bench)[1].amount == 2.0
     bench = counting()
     _, call = ask(bench)
     bench.feed(api.CounterReply(call.name, False, 0.0, maybe_added=True))  # it is on the counter's line
-    bench.gateway.admission.shared.trust = 1.0
+    bench.gateway.admission.shared_quota.coverage = 1.0
     assert ask(bench)[1].amount == 1.0
 
 
@@ -226,8 +226,8 @@
 def test_a_pool_known_to_have_no_room_is_not_asked_again_before_it_has() -> None:
     bench = counting(plans=(replace(CAPPED, excess_cost=0.0),))  # no call about the quota
     _, call = ask(bench)
-    began = bench.gateway.admission.shared.pending[call.name][0].bucket.began
-    rate, most = bench.gateway.admission.restrictors[1].pool
+    began = bench.gateway.admission.shared_quota.pending[call.name][0].bucket.started_at
+    rate, most = bench.gateway.admission.restrictors[1].pool_limits
     total = rate * (bench.now - began) + most + rate + call.amount  # a second's worth over the brim
     actions = bench.feed(api.CounterReply(call.name, True, total))
     assert [a.amount for a in actions if isinstance(a, api.CounterAdd)] == [-1.0]
@@ -265,7 +265,7 @@
     name, _ = ask(bench)
     sends = [a for a in bench.wait(0.3) if isinstance(a, api.Send)]
     assert [s.request for s in sends] == [name]
-    assert bench.gateway.admission.shared.pending == {}
+    assert bench.gateway.admission.shared_quota.pending == {}
 
 
 def test_a_failing_counter_is_asked_ever_less_and_again_later() -> None:
@@ -297,14 +297,14 @@
         _, call = ask(bench, customer=customer)
         bench.now += 0.03  # of the 0.05 that it may take, always
         bench.feed(api.CounterReply(call.name, True, call.amount))
-    assert bench.gateway.admission.shared.trust == COVERAGE_ALL_REQUESTS
+    assert bench.gateway.admission.shared_quota.coverage == COVERAGE_ALL_REQUESTS
 
 
 def test_in_a_crowd_a_sample_of_the_small_requests_stands_for_all_of_them() -> None:
     for trust, least, most in ((1.0, 0.2, 0.3), (1.5, 0.57, 0.68), (COVERAGE_ALL_REQUESTS, 1.0, 1.0)):
         bench, amounts = counting(max_units=4.0), list[float]()
         for customer in range(1000):
-            bench.gateway.admission.shared.trust = trust
+            bench.gateway.admission.shared_quota.coverage = trust
             action = bench.request(customer=customer, entry_gateways=MANY)[1][0]
             if isinstance(action, api.CounterAdd):
                 amounts.append(action.amount)
@@ -324,10 +324,10 @@
 def test_a_request_stands_for_no_others_while_the_own_bucket_lets_none_in() -> None:
     bench, amounts = counting(max_units=4.0), list[float]()
     for customer in range(100):
-        bench.gateway.admission.shared.trust = 1.0
+        bench.gateway.admission.shared_quota.coverage = 1.0
         bench.request(customer=customer, entry_gateways=MANY)
         restrictor = bench.gateway.admission.restrictors[customer]
-        restrictor.fill, restrictor.unreported = 2 * PLAN.burst, 0.0
+        restrictor.fill, restrictor.unreported_units = 2 * PLAN.burst, 0.0
         action = bench.request(customer=customer, entry_gateways=MANY)[1][0]
         assert isinstance(action, api.CounterAdd | api.Refuse)
         if isinstance(action, api.CounterAdd):
@@ -340,14 +340,14 @@
     """One that is asked about stands for others; these give back their units as it does its own."""
     bench, told, untold = counting(max_units=4.0, servers=()), 0.0, 0.0
     for customer in range(1000):
-        bench.gateway.admission.shared.trust = 1.0
+        bench.gateway.admission.shared_quota.coverage = 1.0
         action = bench.request(customer=customer, entry_gateways=MANY)[1][0]
         if isinstance(action, api.CounterAdd):
-            began = bench.gateway.admission.shared.pending[action.name][0].bucket.began
+            began = bench.gateway.admission.shared_quota.pending[action.name][0].bucket.started_at
             empty = action.amount + PLAN.rate * (bench.now - began)
             assert [type(a) for a in bench.feed(api.CounterReply(action.name, True, empty))] == [api.Refuse]
             told += action.amount
-        untold += bench.gateway.admission.restrictors[customer].unreported
+        untold += bench.gateway.admission.restrictors[customer].unreported_units
     assert untold == -1000.0
     assert 0.9 <= told / 1000 <= 1.1
 
@@ -363,7 +363,7 @@
     for fill, lets_in in ((PLAN.burst - 1.0, True), (PLAN.burst - 0.5, False)):
         bench = counting(max_units=4.0)
         call = sampled(bench)
-        began = bench.gateway.admission.shared.pending[call.name][0].bucket.began
+        began = bench.gateway.admission.shared_quota.pending[call.name][0].bucket.started_at
         total = call.amount + fill + PLAN.rate * (bench.now - began)
         actions = bench.feed(api.CounterReply(call.name, True, total))
         assert (api.Send in [type(a) for a in actions]) is lets_in
@@ -374,7 +374,7 @@
     for bench in fleet(3, now=100.0):
         asked = set()
         for customer in range(200):
-            bench.gateway.admission.shared.trust = 0.3
+            bench.gateway.admission.shared_quota.coverage = 0.3
             if isinstance(bench.request(customer=customer, entry_gateways=MANY)[1][0], api.CounterAdd):
                 asked.add(customer)
         counted.append(asked)
@@ -388,7 +388,7 @@
     bench.feed(api.RequestAbandoned(name))
     assert bench.feed(api.CounterReply(call.name, True, 1.0)) == []
     assert bench.feed(api.CounterReply(call.name, True, 1.0)) == []  # a reply that nobody waits for
-    assert bench.gateway.admission.shared.pending == {} and bench.gateway.requests == {}
+    assert bench.gateway.admission.shared_quota.pending == {} and bench.gateway.requests == {}
 
 
 def test_one_that_leaves_takes_back_its_own_units_and_none_that_were_used() -> None:
@@ -404,8 +404,8 @@
 
 def test_a_counter_that_was_lost_is_soon_used_again() -> None:
     bench, counter = counting(), Counter()
-    bench.gateway.admission.shared.trust = 0.05
+    bench.gateway.admission.shared_quota.coverage = 0.05
     for customer in range(100):
         bench.wait(0.1)
         counter.serve(bench, bench.request(customer=customer, entry_gateways=MANY)[1])
-    assert bench.gateway.admission.shared.trust > 0.5
+    assert bench.gateway.admission.shared_quota.coverage > 0.5
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -872,7 +872,7 @@
             entry("s-1", host.port), real=True, packages=[plan], family_info=family, n_instances=1
         ) as w:
             started, go = hold_connects(w.node.upstreams)
-            w.node.gateway.admission.born = -math.inf  # the ceiling is full
+            w.node.gateway.admission.started_at = -math.inf  # the ceiling is full
             sets = {"Quota_Info": "units=1,spread=1,first=0"}
             first, second = await w.client(), await w.client()
             first.send(request("r1", **sets))
--- a/tests/test_quota_faults.py
+++ b/tests/test_quota_faults.py
@@ -21,9 +21,9 @@
     bench.wait(1.0)
     bench.request(plan_index=CAPPED, entry_gateways=1)
     restrictor = bench.gateway.admission.restrictors[1]
-    before = restrictor.ceiling
+    before = restrictor.ceiling_tokens
     bench.request(plan_index=BASIC, entry_gateways=1)
-    assert restrictor.ceiling == before
+    assert restrictor.ceiling_tokens == before
 
 
 def test_a_total_that_is_far_off_refuses_no_longer_than_its_number_lives() -> None:
@@ -32,7 +32,7 @@
     bench.ask()
     bench.feed_total()
     bench.feed_total()  # of the call that takes the refused request's units back
-    assert bench.gateway.admission.restrictors[1].blocked_until > bench.now
+    assert bench.gateway.admission.restrictors[1].shared_blocked_until > bench.now
     bench.pass_over_number_end()
     name = bench.ask()
     bench.feed_total()
@@ -59,7 +59,7 @@
         bench.wait(RATE_UPDATE_INTERVAL_S)
         if second == 20:
             assert bench.gateway.admission.restrictors[1].rate < PLANS[BASIC].rate
-    assert bench.gateway.admission.restrictors[1].use == pytest.approx(0.5, rel=0.1)
+    assert bench.gateway.admission.restrictors[1].smoothed_usage == pytest.approx(0.5, rel=0.1)
 
 
 def test_the_effect_of_a_huge_reading_is_that_of_one_that_is_far_over_any_quota() -> None:
@@ -116,7 +116,7 @@
         bench.finish(name, api.Outcome.OK)
     bench.wait(2 * IDLE_TIMEOUT_S)
     restrictor = bench.gateway.admission.restrictors[1]
-    assert restrictor.ceiling < slow.ceiling_burst
+    assert restrictor.ceiling_tokens < slow.ceiling_burst
     bench.wait(seconds)
     assert bench.gateway.admission.restrictors == {}
 
@@ -133,14 +133,14 @@
             if isinstance(action, api.CounterAdd):
                 assert abs(action.amount) <= MAX_CALL_UNITS
         bench.calls.clear()
-        bench.gateway.admission.shared.pending.clear()
+        bench.gateway.admission.shared_quota.pending.clear()
 
 
 def test_what_is_untold_beyond_what_a_call_may_carry_waits_for_the_next() -> None:
     bench = LedgerBench()
     bench.ask(entries=1)
     restrictor = bench.gateway.admission.restrictors[1]
-    restrictor.unreported = -2.5 * MAX_CALL_UNITS
+    restrictor.unreported_units = -2.5 * MAX_CALL_UNITS
     amounts = []
     for _ in range(3):
         bench.ask()
--- a/tests/test_quota_input.py
+++ b/tests/test_quota_input.py
@@ -64,7 +64,7 @@
         self.trust_fully()
 
     def trust_fully(self) -> None:
-        self.gateway.admission.shared.trust = COVERAGE_ALL_REQUESTS
+        self.gateway.admission.shared_quota.coverage = COVERAGE_ALL_REQUESTS
 
     def feed(self, event: api.Event) -> list[api.Action]:
         if isinstance(event, api.Request):
@@ -115,40 +115,44 @@
 
     def finish(self) -> None:
         """Lets all time-outs pass, answers what is out, and checks that nothing is left in hand."""
-        while self.gateway.admission.shared.pending:
+        while self.gateway.admission.shared_quota.pending:
             self.wait(2 * COUNTER_TIMEOUT)
         for name in self.out():
             self.answer(name)
         for name in list(self.gateway.requests):  # those whose clients have left
             self.done(name, api.Outcome.CANCELLED, self.attempts[name])
         assert {name: ends for name, ends in self.ends.items() if len(ends) != 1} == {}
-        assert self.gateway.admission.shared.pending == {}
+        assert self.gateway.admission.shared_quota.pending == {}
         assert self.gateway.requests == {}
-        assert all(r.open == 0 for r in self.gateway.admission.restrictors.values())
+        assert all(r.open_attempts == 0 for r in self.gateway.admission.restrictors.values())
 
     def check(self) -> None:
         if not hasattr(self, "gateway"):
             return
-        shared = self.gateway.admission.shared
-        assert MIN_COVERAGE <= shared.trust <= COVERAGE_ALL_REQUESTS
+        shared = self.gateway.admission.shared_quota
+        assert MIN_COVERAGE <= shared.coverage <= COVERAGE_ALL_REQUESTS
         assert 0 <= shared.congestion <= 1
-        assert shared.least_delay >= 0 and math.isfinite(shared.mean_price)
+        assert shared.min_delay >= 0 and math.isfinite(shared.mean_price)
         for customer, restrictor in self.gateway.admission.restrictors.items():
             asked = self.asked[customer]
             # Only settling takes a fill below nought, by no more than the guesses settled since it leaked.
             assert -self.settled[customer] <= restrictor.fill <= 2 * LARGEST_BURST + self.true_units
             if restrictor.plan.rate:
                 tolerance = 1e-9 * restrictor.plan.rate
-                assert restrictor.floor - tolerance <= restrictor.rate <= restrictor.plan.rate + tolerance
+                assert restrictor.min_rate - tolerance <= restrictor.rate <= restrictor.plan.rate + tolerance
             else:
                 assert restrictor.rate == 0
-            assert 0 <= restrictor.recent_use <= 1e300 and 0 <= restrictor.use <= 1e300
+            assert 0 <= restrictor.recent_usage <= 1e300 and 0 <= restrictor.smoothed_usage <= 1e300
             assert 0 <= restrictor.demand <= sum(r.units for r in asked)
             # Bounded by the burst and by the units of what was in hand at once, which is all that was asked.
             units = MOST_UNITS * len(asked)
-            assert -units <= restrictor.unreported <= LARGEST_BURST + units
-            assert math.isfinite(restrictor.ceiling) and restrictor.ceiling <= LARGEST_CEILING
-            assert restrictor.open >= 0 and restrictor.passed >= 0 and restrictor.own >= 0
+            assert -units <= restrictor.unreported_units <= LARGEST_BURST + units
+            assert math.isfinite(restrictor.ceiling_tokens) and restrictor.ceiling_tokens <= LARGEST_CEILING
+            assert (
+                restrictor.open_attempts >= 0
+                and restrictor.admitted_units >= 0
+                and restrictor.admitted_rate >= 0
+            )
 
 
 def fuzz(bench: QuotaBench, events: int) -> None:
@@ -223,7 +227,7 @@
                 bench.answer(name, usage=usage)
             bench.wait(0.1)
         ends.append(list(bench.ends.values()))
-        assert bench.gateway.admission.restrictors[1].heard_at == -math.inf
+        assert bench.gateway.admission.restrictors[1].usage_at == -math.inf
     assert ends[0] == ends[1]
 
 
@@ -245,7 +249,7 @@
         name, _ = bench.request(entry_gateways=GATEWAYS)
         bench.counter(total)
         assert bench.out() == [name]
-        assert bench.gateway.admission.restrictors[1].blocked_until == -math.inf
+        assert bench.gateway.admission.restrictors[1].shared_blocked_until == -math.inf
         bench.finish()
 
 
@@ -256,12 +260,12 @@
     for unknown in (0, -1, call.name + 1, 1 << 70):
         assert bench.feed(api.CounterReply(unknown, True, 1e6)) == []
     assert bench.ends[name] == [] and not bench.out()
-    shared = bench.gateway.admission.shared
-    began = shared.pending[call.name][0].bucket.began
+    shared = bench.gateway.admission.shared_quota
+    began = shared.pending[call.name][0].bucket.started_at
     bench.counter(call.amount + PLAN.rate * (bench.now - began))  # an empty bucket
-    before = (shared.trust, shared.congestion, shared.least_delay)
+    before = (shared.coverage, shared.congestion, shared.min_delay)
     assert bench.feed(api.CounterReply(call.name, True, 1e6)) == []  # for the second time
-    assert before == (shared.trust, shared.congestion, shared.least_delay)
+    assert before == (shared.coverage, shared.congestion, shared.min_delay)
     assert bench.out() == [name]
     bench.finish()
 
@@ -386,5 +390,5 @@
         while bench.calls:
             bench.counter(1.0)
         bench.feed(api.TimerFired(0))
-    assert bench.gateway.admission.shared.congestion == 0.0
+    assert bench.gateway.admission.shared_quota.congestion == 0.0
     bench.finish()
--- a/tests/test_quota_orders.py
+++ b/tests/test_quota_orders.py
@@ -194,7 +194,7 @@
         first = self.bench.ask(CEILING, entries=1)
         self.bench.finish(first, api.Outcome.OK)
         self.restrictor = self.bench.gateway.admission.restrictors[1]
-        self.start = self.restrictor.ceiling + 1.0
+        self.start = self.restrictor.ceiling_tokens + 1.0
 
     @rule(plan=st.sampled_from((BASIC, CEILING)), entries=st.sampled_from((1, 2, 10)), units=UNITS)
     def ask(self, plan: int, entries: int, units: float) -> None:
@@ -213,7 +213,7 @@
     def teardown(self) -> None:
         tickets = self.bench.tickets.values()
         taken = sum(t.units * t.entries for t in tickets if t.is_sent_on and t.plan == CEILING)
-        assert self.restrictor.ceiling == pytest.approx(self.start - taken)
+        assert self.restrictor.ceiling_tokens == pytest.approx(self.start - taken)
 
 
 @pytest.mark.parametrize("number", SEEDS)
@@ -229,4 +229,4 @@
         bench.request(entry_gateways=1)
         bench.wait(0.25)
         restrictor = bench.gateway.admission.restrictors[1]
-    assert restrictor is not None and restrictor.unreported <= PLAN.burst
+    assert restrictor is not None and restrictor.unreported_units <= PLAN.burst
--- a/tests/test_restrictor.py
+++ b/tests/test_restrictor.py
@@ -61,22 +61,22 @@
     """At one of thirty gateways two requests within seconds look like several times the quota."""
     for reading, lets_in in ((0.2, True), (2.0, False)):
         restrictor = Restrictor(PLAN, 30, now=100.0, born=0.0)
-        restrictor.note(100.0, 1.0)
+        restrictor.record_demand(100.0, 1.0)
         restrictor.charge(1.0)
-        restrictor.hear(101.0, reading)
+        restrictor.record_usage(101.0, reading)
         restrictor.drain(105.0)
-        assert (restrictor.wait(1.0) == 0.0) is lets_in
+        assert (restrictor.bucket_wait(1.0) == 0.0) is lets_in
         restrictor.drain(120.0)  # too long ago to tell of anything
-        restrictor.note(120.0, 3.0)
+        restrictor.record_demand(120.0, 3.0)
         restrictor.charge(2.0)
-        assert restrictor.wait(2.0) > 0.0
+        assert restrictor.bucket_wait(2.0) > 0.0
 
 
 def test_a_single_reading_of_a_short_period_is_not_all_that_counts() -> None:
     restrictor = Restrictor(PLAN, 30, now=100.0, born=0.0)
     for at, reading in ((100.0, 0.0), (102.0, 0.4), (104.0, 1.2)):
-        restrictor.hear(at, reading)
-    assert 0.5 < restrictor.recent_use < 0.9
+        restrictor.record_usage(at, reading)
+    assert 0.5 < restrictor.recent_usage < 0.9
 
 
 def test_one_that_asks_for_little_has_its_burst_also_at_the_gateway_that_it_comes_to_most() -> None:
@@ -84,9 +84,9 @@
     restrictor = Restrictor(PLAN, entries=4, now=0.0, born=0.0)
     for second in range(60):
         restrictor.drain(float(second))
-        restrictor.note(float(second), 0.15 * PLAN.rate)
+        restrictor.record_demand(float(second), 0.15 * PLAN.rate)
     assert restrictor.threshold(1.0) > 0.85 * PLAN.burst
     for second in range(60, 120):
         restrictor.drain(float(second))
-        restrictor.note(float(second), 0.5 * PLAN.rate)  # twice the quota by even parts
+        restrictor.record_demand(float(second), 0.5 * PLAN.rate)  # twice the quota by even parts
     assert restrictor.threshold(1.0) < 0.3 * PLAN.burst
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -58,7 +58,7 @@
     name, _ = bench.request()
     only(bench.done(name, api.Outcome.CONNECT_FAILED), api.Send)
     assert bench.done(name, api.Outcome.CONNECT_FAILED) == []
-    assert bench.gateway.admission.restrictors[1].open == 1
+    assert bench.gateway.admission.restrictors[1].open_attempts == 1
 
 
 def test_nothing_is_sent_for_a_request_whose_client_left() -> None:
