--- a/coralvale/restrictor.py
+++ b/coralvale/restrictor.py
@@ -1,4 +1,17 @@
-"""One customer's quota at one gateway: NICC ND1621's leaky bucket, its leak rate, the part of a ceiling."""
+"""One customer's quota at one gateway, after NICC ND1621: a leaky bucket (a restrictor) and its leak rate.
+
+The gateways that receive a customer's requests are its entry gateways. Each has a bucket for the customer,
+here called the local bucket. An admitted request adds its units to the fill, and the fill leaks at the leak
+rate. A request is admitted if the fill together with the request's units does not exceed the threshold.
+
+The plan's rate and burst hold for all entry gateways together. So each gateway sets its leak rate, once a
+second, to its share of the plan's rate: the share of the customer's metered use that it has admitted, but
+never less than an even share. Its threshold is a share of the burst that follows from the leak rate.
+
+A ceiling is a second limit, which must not be exceeded whatever the quota allows. Each entry gateway has an
+even share of it, kept as a token bucket. For a customer with many entry gateways (a wide set), a part of the
+ceiling is pooled on the shared counter instead; see coralvale/shared_quota.py.
+"""
 
 from __future__ import annotations
 
@@ -7,144 +20,141 @@
 
 from coralvale import interface as api
 
-USAGE_EWMA_WEIGHT = (
-    0.5  # weight of the newest second in admitted and metered use: two seconds of memory tame one odd reading
-)
-RATE_UPDATE_INTERVAL_S = 1.0  # s between new leak rates, as the design sets it
-RATE_DAMPING = (
-    0.5  # share of the way to the target leak rate taken at once, so that gateways do not chase each other
-)
-MAX_RATE_GROWTH = 0.5  # most a leak rate grows in one step: a doubling takes two steps
-READING_MAX_AGE_S = 4.0  # s without a reading after which it is stale: the meter's usual lateness twice over
-MIN_RATE_RETURN_SHARE = 0.25  # share of the way back to the floor in each step without readings
-DEMAND_TIME_CONSTANT_S = (
-    8.0  # s over which a customer's asking here is averaged: its mean gap there is some seconds
-)
-WIDE_SET_DEMAND_TIME_CONSTANT_S = 20.0  # s, the same where a gateway hears of a customer so seldom
-LIGHT_DEMAND, HEAVY_DEMAND = (
-    0.4,
-    1.0,
-)  # times its quota that a customer asks for, by what it asks here: surely under, over
-BREAK_EVEN_COST = 1.0  # worths: net cost at which letting in wrongly costs as much as refusing wrongly
-UNDERSAMPLED_UNITS_RATIO = (
-    2.0  # times that a request is over the part of the burst where the bucket cannot know
-)
-WIDE_SET_GATEWAYS = 8  # gateways of a set past which each sees too little of the customer, whatever its burst
-UNDERFLOW_TOLERANCE = (
-    0.25  # share of the burst that a shared bucket may run below empty before it is put right
-)
-MAX_USAGE = 8.0  # times its quota: a reading over that says no more than that a customer is far over it
-POOLED_CEILING_SHARE = (
-    0.4  # share of a wide set's ceiling that is pooled on the counter; the rest is in even parts
-)
-RECENT_USAGE_MAX_AGE_S = (
-    15.0  # s for which readings tell what kind of customer it is, if not its use of this moment
-)
-LOCAL_BLOCK_EXTRA_S = 20.0  # s for which one whose shared bucket was full gets nothing by this gateway's own
+USAGE_EWMA_WEIGHT = 0.5  # of the newest value in the means of admitted and metered use; damps single outliers
+RATE_UPDATE_INTERVAL_S = 1.0  # between updates of the leak rate
+RATE_DAMPING = 0.5  # share of the step to the target leak rate made in one update; avoids oscillation
+MAX_RATE_GROWTH = 0.5  # share by which the target leak rate of an update may exceed the current one
+READING_MAX_AGE_S = 4.0  # after which a usage reading is stale; twice the meter's usual delay
+MIN_RATE_RETURN_SHARE = 0.25  # share of the step back to the minimum made in one update without readings
+DEMAND_TIME_CONSTANT_S = 8.0  # of the mean demand; a customer's requests here are some seconds apart
+WIDE_SET_DEMAND_TIME_CONSTANT_S = 20.0  # the same for a wide set, whose gateways see fewer of the requests
+# Estimated demand, as a multiple of the plan's rate, at which a customer is surely below its quota, or above.
+LIGHT_DEMAND_RATIO, HEAVY_DEMAND_RATIO = 0.4, 1.0
+BREAK_EVEN_COST = 1.0  # net cost of a wrong admission that equals that of a wrong refusal, in requests' worth
+UNDERSAMPLED_UNITS_RATIO = 2.0  # units of a request over an even share of the burst; beyond it, undersampled
+WIDE_SET_MIN_GATEWAYS = 8  # entry gateways from which on each sees too little of a customer's traffic
+UNDERFLOW_TOLERANCE = 0.25  # share of its burst by which a bucket on the counter may run below empty
+MAX_USAGE = 8.0  # multiple of the plan's rate; higher readings are clamped, they say no more
+POOLED_CEILING_SHARE = 0.4  # of a wide set's ceiling; the rest is divided evenly among the gateways
+RECENT_USAGE_MAX_AGE_S = 15.0  # for which readings still tell a light customer from a heavy one
+LOCAL_BLOCK_EXTRA_S = 20.0  # for which the local bucket admits nothing after the shared bucket has room again
 
 
 @cache
 def traffic_skew(entries: int) -> float:
-    """How many times its even part of a customer's traffic the gateway gets that a request comes to.
+    """Expected traffic of a customer at the gateway that a request reaches, as a multiple of an even split.
 
-    Customers' traffic is spread unevenly; how unevenly is not known, so by Zipf's law.
+    A request is more likely to reach a gateway with more of the traffic. How unevenly traffic is split is not
+    known; Zipf's law is assumed.
     """
     weights = [1 / rank for rank in range(1, entries + 1)]
     return entries * sum(w * w for w in weights) / sum(weights) ** 2
 
 
 class Restrictor:
-    """One customer's leaky bucket, its leak rate, and this gateway's share of the ceiling."""
+    """One customer's leaky bucket at this gateway, its leak rate, and this gateway's share of the ceiling.
+
+    `entries` is the number of the customer's entry gateways, `born` the time at which this gateway started.
+    """
 
     def __init__(
         self, plan: api.Plan, entries: int, now: float, born: float, may_count: bool = False
     ) -> None:
-        self.may_count = may_count
+        self.may_count = may_count  # whether the shared counter may be used
         self.configure(plan, entries)
-        self.rate = self.min_rate
-        self.fill, self.drained_at, self.last_request_at = 0.0, now, now
-        self.admitted_units, self.open_attempts = (
-            0.0,
-            0,
-        )  # units let through since the last step; attempts out
-        self.admitted_rate = self.delayed_admitted_rate = self.smoothed_usage = (
-            0.0  # own_late lags own by as much as readings lag use
-        )
-        self.last_usage, self.usage_at = 0.0, -math.inf
-        self.recent_usage = 0.0  # mean of the last few readings
-        self.demand, self.demand_at = 0.0, now  # units a second asked for here, refused ones too
-        self.unreported_units = 0.0  # units let in here that the shared bucket has not been told of
-        self.shared_blocked_until = -math.inf  # until when the shared bucket is known to have no room
+        self.rate = self.min_rate  # leak rate in units a second
+        self.fill, self.drained_at, self.last_request_at = 0.0, now, now  # fill in units, as of drained_at
+        # Units admitted since the last rate update; attempts of the customer that are outstanding.
+        self.admitted_units, self.open_attempts = 0.0, 0
+        # Units a second admitted here; the same, delayed about as much as readings of the meter are; metered
+        # use of the customer over all gateways, as a multiple of the plan's rate. All are moving averages.
+        self.admitted_rate = self.delayed_admitted_rate = self.smoothed_usage = 0.0
+        self.last_usage, self.usage_at = 0.0, -math.inf  # newest reading of the meter, and when it arrived
+        self.recent_usage = 0.0  # moving average of the last few readings
+        self.demand, self.demand_at = 0.0, now  # units a second requested here, refused requests included
+        self.unreported_units = 0.0  # to be added to the shared bucket with the next call; may be negative
+        self.shared_blocked_until = -math.inf  # until then the shared bucket is known to have no room
         self.pool_blocked_until = -math.inf  # the same for the pool of the ceiling
-        self.unreported_pool_units = (
-            0.0  # units that the pool has not been told of; below nought: to take back
-        )
-        # A restart must not refill the ceiling, so the share is empty at birth and fills from then on.
+        self.unreported_pool_units = 0.0  # the same for the pool; negative: to be taken back from it
+        # A restart must not refill the ceiling, so its tokens start at zero when the gateway starts.
         self.ceiling_tokens = min(self.unpooled_ceiling_burst, self.unpooled_ceiling_rate * (now - born))
 
     def configure(self, plan: api.Plan, entries: int) -> None:
-        """Takes plan and set as a request names them: one that named others must not bind all that follow."""
+        """Applies the plan and the number of entry gateways that the current request names.
+
+        Called anew for each request that names others, so a wrong one does not affect later requests.
+        """
         self.plan, self.entries = plan, max(1, entries)
         self.min_rate = plan.rate / self.entries
-        self.traffic_skew = traffic_skew(self.entries) if self.entries < WIDE_SET_GATEWAYS else 1.0
+        self.traffic_skew = traffic_skew(self.entries) if self.entries < WIDE_SET_MIN_GATEWAYS else 1.0
         self.demand_time_constant = (
-            WIDE_SET_DEMAND_TIME_CONSTANT_S if self.entries >= WIDE_SET_GATEWAYS else DEMAND_TIME_CONSTANT_S
+            WIDE_SET_DEMAND_TIME_CONSTANT_S
+            if self.entries >= WIDE_SET_MIN_GATEWAYS
+            else DEMAND_TIME_CONSTANT_S
         )
-        share = POOLED_CEILING_SHARE if self.may_count and self.entries >= WIDE_SET_GATEWAYS else 0.0
+        share = POOLED_CEILING_SHARE if self.may_count and self.entries >= WIDE_SET_MIN_GATEWAYS else 0.0
         self.unpooled_ceiling_rate, self.unpooled_ceiling_burst = (
             (1 - share) * plan.ceiling_rate,
             (1 - share) * plan.ceiling_burst,
         )
-        # A pool may run below empty before it is put right, so it holds that much less.
+        # Rate and burst of the pool; the rate is 0 if there is none. The pool's fill may fall somewhat below
+        # empty before it is corrected, so its burst is lower by as much.
         self.pool_limits = share * plan.ceiling_rate, share * plan.ceiling_burst / (1 + UNDERFLOW_TOLERANCE)
 
     def can_be_dropped(self) -> bool:
-        """Whether nothing would be lost if the customer came back to a new restrictor."""
-        filled = self.fill > 0 and self.plan.rate > 0  # without a rate nothing leaks, and no fill counts
+        """Whether no state is left that a new restrictor would lack: attempts, fill, spent ceiling tokens."""
+        is_filled = self.fill > 0 and self.plan.rate > 0  # without a rate the fill never leaks nor limits
         is_short = self.plan.ceiling_rate > 0 and self.ceiling_tokens < self.unpooled_ceiling_burst
-        return not (self.open_attempts or filled or is_short)
+        return not (self.open_attempts or is_filled or is_short)
 
     def drain(self, now: float) -> None:
+        """Lets the bucket leak, and adds the ceiling's tokens, up to the current time."""
         elapsed, self.drained_at = max(0.0, now - self.drained_at), max(self.drained_at, now)
         self.fill = max(0.0, self.fill - self.rate * elapsed)
-        if self.plan.ceiling_rate:  # a plan without one, named by mistake, leaves the customer's as it was
+        # If a request names a plan without a ceiling by mistake, the tokens stay as they are.
+        if self.plan.ceiling_rate:
             self.ceiling_tokens = min(
                 self.unpooled_ceiling_burst, self.ceiling_tokens + self.unpooled_ceiling_rate * elapsed
             )
 
     def threshold(self, units: float) -> float:
-        """Burst scaled with the leak rate, one request at least; more where letting in wrongly costs less."""
-        # Let in wrongly a request costs c, refused wrongly its worth.
-        cost = self.plan.net_excess_cost
-        rate = max(self.plan.rate, 1e-9)
-        # One that asks for little overall has the burst to itself, whichever gateway it comes to: a part of
-        # it is a request or two, and by chance two that belong together come to the same gateway.
+        """The most that fill and units together may be for a request to be admitted; at least its units.
+
+        It is the burst times the leak rate's share of the plan's rate, and up to the full burst if the
+        customer's demand is light. The lower the net cost of a wrong admission, the higher it is.
+        """
+        cost = self.plan.net_excess_cost  # of a wrong admission; a wrong refusal costs 1, the request's worth
+        plan_rate = max(self.plan.rate, 1e-9)
+        # A light customer gets the full burst at every gateway: a share of the burst holds a request or two
+        # only, and requests that come together may reach the same gateway by chance.
         demand_ratio = (
             self.demand
             * math.exp((self.demand_at - self.drained_at) / self.demand_time_constant)
             * self.entries
-            / rate
+            / plan_rate
         )
         demand_ratio /= self.traffic_skew
-        if self.entries >= WIDE_SET_GATEWAYS and self.drained_at - self.usage_at < RECENT_USAGE_MAX_AGE_S:
-            demand_ratio = (
-                self.recent_usage + demand_ratio
-            ) / 2  # one reading is of half a second, own requests are few
-        spare = min(1.0, max(0.0, (HEAVY_DEMAND - demand_ratio) / (HEAVY_DEMAND - LIGHT_DEMAND)))
-        share = self.rate / rate
+        if self.entries >= WIDE_SET_MIN_GATEWAYS and self.drained_at - self.usage_at < RECENT_USAGE_MAX_AGE_S:
+            # Both estimates are noisy: a reading covers a short period, and few requests arrive here.
+            demand_ratio = (self.recent_usage + demand_ratio) / 2
+        # 1 if demand is light, 0 if it is heavy, in between in proportion.
+        lightness = min(
+            1.0, max(0.0, (HEAVY_DEMAND_RATIO - demand_ratio) / (HEAVY_DEMAND_RATIO - LIGHT_DEMAND_RATIO))
+        )
+        share = self.rate / plan_rate
         return max(
-            units, self.plan.burst * (share + spare * (1 - share)) * (1 + BREAK_EVEN_COST) / (1 + cost)
+            units, self.plan.burst * (share + lightness * (1 - share)) * (1 + BREAK_EVEN_COST) / (1 + cost)
         )
 
     def record_usage(self, now: float, usage: float) -> None:
-        """Takes down a reading of the meter: the customer's use over all gateways as a share of its rate."""
+        """Records a reading of the meter: the customer's use over all gateways as a multiple of its rate."""
         usage = min(usage, MAX_USAGE)
-        is_fresh = now - self.usage_at < RECENT_USAGE_MAX_AGE_S
-        self.recent_usage += (USAGE_EWMA_WEIGHT if is_fresh else 1.0) * (usage - self.recent_usage)
+        is_recent = now - self.usage_at < RECENT_USAGE_MAX_AGE_S
+        self.recent_usage += (USAGE_EWMA_WEIGHT if is_recent else 1.0) * (usage - self.recent_usage)
         self.last_usage, self.usage_at = usage, now
 
     def record_demand(self, now: float, units: float) -> None:
-        """Takes down that the customer has asked, when all has been decided by what it asked before."""
+        """Adds a request to the demand; called after its decision, which uses the demand without it."""
         self.demand = (
             self.demand * math.exp((self.demand_at - now) / self.demand_time_constant)
             + units / self.demand_time_constant
@@ -152,82 +162,97 @@
         self.demand_at = now
 
     def bucket_wait(self, units: float) -> float:
-        """Seconds until the bucket has room, 0 when it has it now."""
+        """Seconds until the local bucket has room for a request; 0 if it has room now or there is no rate."""
         return max(0.0, (self.fill + units - self.threshold(units)) / self.rate) if self.plan.rate else 0.0
 
     def would_admit(self, now: float, units: float) -> bool:
-        """Whether a request that the counter is not asked about would be let in by this bucket."""
+        """Whether the local bucket admits a request that the counter is not asked about."""
         return not (self.bucket_wait(units) or self.is_locally_blocked(now))
 
     def ceiling_wait(self, units: float) -> float:
-        short = units * self.entries - self.ceiling_tokens  # shares are even, so a request takes for all
-        return max(0.0, short / self.unpooled_ceiling_rate) if self.plan.ceiling_rate else 0.0
+        """Seconds until this gateway's share of the ceiling has tokens for a request; 0 if it has them."""
+        # The tokens stand for the whole unpooled ceiling, of which this gateway may use an even share. So a
+        # request takes its units once for each entry gateway.
+        missing = units * self.entries - self.ceiling_tokens
+        return max(0.0, missing / self.unpooled_ceiling_rate) if self.plan.ceiling_rate else 0.0
 
     def is_undersampled(self, units: float, is_metered: bool) -> bool:
-        """Whether own traffic tells little: many gateways, or a part of the burst under half a request.
+        """Whether this gateway sees too little of the customer's traffic for its local bucket to decide well.
 
-        Of many gateways each knows enough all the same whose part holds a request and which hears readings.
+        That is the case if an even share of the burst holds less than half a request. It is also the case
+        with many entry gateways, unless the customer is metered and an even share holds a whole request.
         """
         requests_per_share = self.plan.burst / (units * self.entries)
-        too_few = requests_per_share < 1 / UNDERSAMPLED_UNITS_RATIO or (
-            self.entries >= WIDE_SET_GATEWAYS and not (is_metered and requests_per_share >= 1)
+        sees_too_little = requests_per_share < 1 / UNDERSAMPLED_UNITS_RATIO or (
+            self.entries >= WIDE_SET_MIN_GATEWAYS and not (is_metered and requests_per_share >= 1)
         )
-        return self.plan.rate > 0 and too_few
+        return self.plan.rate > 0 and sees_too_little
 
     def is_locally_blocked(self, now: float) -> bool:
-        """Whether the shared bucket was full of late: what is let in unreported would come on top."""
+        """Whether the shared bucket was full lately, so that local admissions would exceed the quota."""
         return now < self.shared_blocked_until + LOCAL_BLOCK_EXTRA_S
 
     def has_soft_quota(self) -> bool:
-        """Whether what is let in beyond the quota costs no more than it earns."""
+        """Whether a request beyond the quota costs no more than it earns."""
         return self.plan.excess_cost <= self.plan.excess_worth
 
     def at_open_limit(self) -> bool:
-        """Whether own attempts, hung ones too, reach the open limit, or its even part where no rate binds."""
+        """Whether the attempts outstanding here, hung ones included, reach the plan's open limit.
+
+        If the plan has no rate, the limit for this gateway is an even share of it, at least one attempt.
+        """
         limit = self.plan.open_limit / (1 if self.plan.rate else self.entries)
         return limit > 0 and self.open_attempts >= max(1.0, limit)
 
     def charge(self, units: float) -> float:
-        """Takes a request's units into the bucket; returns by how many its fill has grown."""
+        """Adds a request's units to the fill, up to the threshold; returns the increase of the fill."""
         before = self.fill
         self.fill = max(before, min(before + units, self.threshold(units)))
         self.admitted_units += units
         return self.fill - before
 
     def refund(self, units: float, fill_increase: float) -> None:
-        """Gives back the units of a request that was never sent, and what the fill had grown by."""
+        """Takes back what `charge` added, for a request that was not sent; `fill_increase` as it returned."""
         self.fill, self.admitted_units = (
             max(0.0, self.fill - fill_increase),
             max(0.0, self.admitted_units - units),
         )
 
     def charge_ceiling(self, units: float) -> float:
-        """Takes a request's units from this gateway's part of the ceiling; returns what was taken there."""
-        if not self.plan.ceiling_rate:  # one that names another plan by mistake takes nothing there
+        """Takes a request's tokens from this gateway's share of the ceiling; returns how many it took."""
+        if not self.plan.ceiling_rate:  # maybe a wrong plan, see `drain`
             return 0.0
-        tokens = units * self.entries  # shares are even, so a request takes for all
+        tokens = units * self.entries  # once for each entry gateway, see `ceiling_wait`
         self.ceiling_tokens -= tokens
         return tokens
 
     def refund_ceiling(self, tokens: float, max_tokens: float) -> None:
-        """Gives back what was taken from the part of the ceiling, which held at most so much then."""
+        """Returns tokens to this gateway's share of the ceiling, up to its maximum when they were taken."""
         self.ceiling_tokens = max(self.ceiling_tokens, min(max_tokens, self.ceiling_tokens + tokens))
 
     def queue_admitted(self, units: float) -> float:
-        """Notes units let in here for the next call, up to a burst in all; returns how many were noted."""
+        """Queues units admitted here for the next call to the shared bucket; returns how many were queued.
+
+        No more than a burst is queued in all, so that the shared bucket is not full for longer than a burst
+        takes to leak.
+        """
         before = self.unreported_units
         self.unreported_units = min(before + units, max(before, self.plan.burst))
         return self.unreported_units - before
 
     def queue_for_next_call(self, units: float, is_pool: bool) -> None:
-        """Notes units that the next call to the shared bucket, or to the pool, has to carry."""
+        """Queues units for the next call to the shared bucket, or to the pool of the ceiling."""
         if is_pool:
             self.unreported_pool_units += units
         else:
             self.unreported_units += units
 
     def update_rate(self, now: float) -> None:
-        """Sets the leak rate: own use times the quota over is_metered use of the same, late, time."""
+        """Sets the leak rate to the plan's rate times this gateway's share of the customer's metered use.
+
+        Readings of the meter are late, so the admitted rate that they are compared with is delayed as well.
+        Without fresh readings the leak rate returns to its minimum.
+        """
         self.drain(now)
         self.delayed_admitted_rate += USAGE_EWMA_WEIGHT * (self.admitted_rate - self.delayed_admitted_rate)
         self.admitted_rate += USAGE_EWMA_WEIGHT * (
@@ -239,9 +264,6 @@
             return
         self.smoothed_usage += USAGE_EWMA_WEIGHT * (self.last_usage - self.smoothed_usage)
         max_rate = self.rate * (1 + MAX_RATE_GROWTH)
-        target_rate = (
-            self.delayed_admitted_rate / self.smoothed_usage if self.smoothed_usage > 0 else max_rate
-        )
-        self.rate += RATE_DAMPING * (
-            max(self.min_rate, min(target_rate, max_rate, self.plan.rate)) - self.rate
-        )
+        # Usage is metered units over the plan's rate, so this is the plan's rate times admitted over metered.
+        target = self.delayed_admitted_rate / self.smoothed_usage if self.smoothed_usage > 0 else max_rate
+        self.rate += RATE_DAMPING * (max(self.min_rate, min(target, max_rate, self.plan.rate)) - self.rate)
