--- a/coralvale/admission.py
+++ b/coralvale/admission.py
@@ -1,7 +1,10 @@
-"""Admission: whether a request is within its customer's quota and ceiling at this gateway.
+"""Admission control: whether a request is within its customer's quota and ceiling.
 
-Ordinary path: the customer's leaky bucket (NICC ND1621, clause 5 and figure 4). Exception: a customer of whom
-this gateway sees too little has its bucket on the shared counter, whose reply then decides.
+Usually the local bucket decides, this gateway's own leaky bucket for the customer (NICC ND1621, clause 5 and
+figure 4). If this gateway sees too little of the customer's traffic for that (the customer is undersampled),
+the shared bucket decides: one for all gateways, on the shared counter. The counter is not asked if it may not
+be used, if a request beyond the quota costs no more than it earns, if the request has no time to wait, or if
+the counter is too congested to count the customer. Then the local bucket decides after all.
 """
 
 from __future__ import annotations
@@ -14,30 +17,26 @@
 from coralvale.shared_quota import Calls, PendingCall, SharedQuota, has_total
 from coralvale.state import Admitted, Decision, Pending, Reason, Refused
 
-EXCESS_COST_FACTOR = (
-    2.0  # times its net cost that a request beyond its quota counts, as its price is bounded too
-)
-SIZE_PENALTY_EXPONENT = (
-    3.0  # power with which the chance of a large request falls past the size that is borne
-)
+EXCESS_COST_FACTOR = 2.0  # on the net cost of requests beyond the quota, as such costs are limited besides
+SIZE_PENALTY_EXPONENT = 3.0  # of the fall in admission probability with a request's size
 MEAN_UNITS_EWMA_WEIGHT = 0.02  # of the newest request in the mean units of its plan
-IDLE_TIMEOUT_S = 60.0  # s after which an idle customer's restrictor is dropped, once its bucket is empty
+IDLE_TIMEOUT_S = 60.0  # after which a customer's restrictor is dropped, once its bucket is empty
 
 
 class Admission:
-    """The customers' restrictors of one gateway, and its part in the buckets on the shared counter."""
+    """Decides on requests, by the customers' restrictors of this gateway and by their shared buckets."""
 
     def __init__(self, settings: api.Settings, rng: random.Random) -> None:
         self.settings = settings
         self.restrictors: dict[int, Restrictor] = {}  # by customer
         self.shared_quota = SharedQuota(settings, rng)
         self.random = rng
-        self.mean_units = [0.0] * len(settings.plans)  # of a request, by plan
-        self.requests_seen = [0] * len(settings.plans)  # requests, by plan
-        self.started_at: float | None = None  # when this gateway had its first event
+        self.mean_units = [0.0] * len(settings.plans)  # of the requests, by plan
+        self.requests_seen = [0] * len(settings.plans)  # by plan
+        self.started_at: float | None = None  # time of this gateway's first event
 
     def restrictor_for(self, now: float, request: api.Request) -> Restrictor:
-        """The restrictor of the request's customer, up to date with the time and with what it names."""
+        """The restrictor of the request's customer, updated for the request; made if there is none."""
         plan, restrictor = self.settings.plans[request.plan_index], self.restrictors.get(request.customer)
         if restrictor is None:
             restrictor = Restrictor(
@@ -50,7 +49,7 @@
         return restrictor
 
     def _update_restrictor(self, now: float, request: api.Request, restrictor: Restrictor) -> None:
-        """Brings a restrictor up to date with the time, the plan and the set that a request names."""
+        """Drains a restrictor, and applies the plan and the entry gateways that a request names."""
         plan = self.settings.plans[request.plan_index]
         restrictor.drain(now)
         if restrictor.plan is not plan or restrictor.entries != request.entry_gateways:
@@ -59,7 +58,7 @@
             restrictor.drain(now)
 
     def decide(self, now: float, request: api.Request, restrictor: Restrictor) -> Decision:
-        """Decides on a new request by the own bucket, or has the shared one of a sparse customer asked."""
+        """Decides on a new request by the local bucket, or returns the call that asks the shared one."""
         reservation = Reservation(request, restrictor)
         may_count = self.settings.may_count and not restrictor.has_soft_quota()
         if not may_count or not restrictor.is_undersampled(request.units, self.settings.meter_period > 0):
@@ -73,15 +72,14 @@
         return self._decide_locally(now, reservation, is_represented=True)
 
     def handle_reply(self, now: float, event: api.CounterReply) -> Decision | None:
-        """Decides by the shared bucket's total; without one in time this gateway's own bucket decides."""
+        """Decides by the total in a reply; if it has none, by the local bucket. None if no call awaits it."""
         if (call := self.shared_quota.match_reply(now, event)) is None:
             return None
         reservation, request, restrictor = call.reservation, call.request, call.restrictor
         if reservation is None or request is None:
             return Pending(tuple(self.shared_quota.undo_fill_up(now, event, call)))
-        self._update_restrictor(
-            now, request, restrictor
-        )  # another request may have named another plan or set meanwhile
+        # Another request may have named a different plan or number of entry gateways meanwhile.
+        self._update_restrictor(now, request, restrictor)
         if call.bucket.is_pool:
             return self._decide_by_pool(now, event, call, reservation)
         if not has_total(event):
@@ -95,7 +93,10 @@
         return Refused(request, Reason.SHARED_QUOTA, wait, tuple(calls))
 
     def check_ceiling(self, now: float, reservation: Reservation) -> Refused | Pending | None:
-        """What keeps back a request within its quota: this gateway's part of the ceiling, then the pool."""
+        """Checks a request that is within its quota against the ceiling; None if it may be sent.
+
+        This gateway's share of the ceiling decides first. If it has no tokens, the pool is asked.
+        """
         request, restrictor = reservation.request, reservation.restrictor
         if reservation.pool_units or not (wait := restrictor.ceiling_wait(request.units)):
             return None
@@ -107,11 +108,11 @@
         return Refused(request, Reason.CEILING, wait)
 
     def abandon_request(self, request: str) -> None:
-        """The client has left: no reply decides on its request any more."""
+        """Releases the request of a client that has left, if it awaits a reply of the counter."""
         self.shared_quota.abandon_request(request)
 
     def overdue_replies(self, now: float) -> list[api.CounterReply]:
-        """Failed replies in place of lost ones: a lost reply must not lose the request, nor its units."""
+        """Replies to feed in place of lost ones, so that neither the request nor its units are lost."""
         return [
             api.CounterReply(name, False, 0.0, maybe_added=True)
             for name in self.shared_quota.overdue_calls(now)
@@ -125,29 +126,34 @@
                 del self.restrictors[customer]
 
     def _record_units(self, request: api.Request) -> None:
-        """Takes a request into the mean units of its plan, a plain mean until enough have come."""
+        """Adds a request to the mean units of its plan, a plain mean at first, later a moving average."""
         self.requests_seen[request.plan_index] += 1
         weight = max(MEAN_UNITS_EWMA_WEIGHT, 1 / self.requests_seen[request.plan_index])
         self.mean_units[request.plan_index] += weight * (request.units - self.mean_units[request.plan_index])
 
     def _decide_locally(self, now: float, reservation: Reservation, is_represented: bool = False) -> Decision:
-        """Decides by the own bucket; `sampled`: another request, that is asked about, stands for this one."""
+        """Decides by the local bucket.
+
+        `is_represented`: sampling has left the request out, so sampled ones report its units to the counter.
+        """
         request, restrictor = reservation.request, reservation.restrictor
         wait = restrictor.bucket_wait(request.units)
         if not wait and not restrictor.is_locally_blocked(now):
             probability = 1.0 if is_represented else self._admission_probability(request, restrictor)
             if probability >= 1 or self.random.random() < probability:
                 return Admitted(reservation)
-        if not is_represented:  # one that stands for others does so only while the own bucket lets these in
+        # While the local bucket refuses, sampled requests represent no others: there is nothing to take back.
+        if not is_represented:
             reservation.release()
         return Refused(request, Reason.QUOTA, wait or RATE_UPDATE_INTERVAL_S)
 
     def _admission_probability(self, request: api.Request, restrictor: Restrictor) -> float:
-        """How likely a request is let in of whose customer this gateway knows too little.
+        """Probability of admitting a request for which the local bucket has room; 1 unless undersampled.
 
-        A request is beyond its quota about as often as the share of the burst that it takes: the stores of
-        all customers are at any level alike. One that is large beside the other requests of its plan, and
-        dear to let in wrongly, is let in by lot, so that smaller ones find the room.
+        This gateway does not know how full an undersampled customer's quota is and takes every fill to be
+        equally likely. A request then exceeds the quota with a probability equal to its share of the burst.
+        So one that is large, also compared with the mean of its plan, is admitted by a random draw if a wrong
+        admission is costly. That leaves the room to smaller requests.
         """
         plan = restrictor.plan
         if not restrictor.is_undersampled(request.units, self.settings.meter_period > 0):
@@ -160,7 +166,7 @@
     def _decide_by_pool(
         self, now: float, event: api.CounterReply, call: PendingCall, reservation: Reservation
     ) -> Decision:
-        """Lets in what the pool of the ceiling holds; without a total nothing is known to be left."""
+        """Decides by the total of the ceiling's pool; refuses without one, as the pool may have no room."""
         wait, calls = RATE_UPDATE_INTERVAL_S, Calls()
         if has_total(event):
             wait, calls = self.shared_quota.apply_total(now, event, call)
--- a/coralvale/reservation.py
+++ b/coralvale/reservation.py
@@ -1,7 +1,7 @@
-"""What one request has taken from its customer's quota, in which places, and how it is given back.
+"""What one request has taken from its customer's quota and ceiling, so that it can be given back.
 
-A request's units lie in up to four places: this gateway's own bucket, the bucket shared on the counter, and
-for a plan with a ceiling this gateway's own part of it or the pool on the counter.
+A request's units are held in up to four places: the local bucket, the bucket shared on the counter and, for a
+plan with a ceiling, either this gateway's share of the ceiling or the ceiling's pool on the counter.
 """
 
 from __future__ import annotations
@@ -14,21 +14,22 @@
 
 @dataclass(slots=True, eq=False)
 class Reservation:
-    """The units of one request by place, from the first call or charge for it on; released at most once."""
+    """The units of one request by place, from its first call to the counter or its charge on.
+
+    It is released at most once.
+    """
 
     request: api.Request
     restrictor: Restrictor
-    shared_units: float = (
-        0.0  # on the counter's number, in a call that is out, or to be told with the next one
-    )
+    shared_units: float = 0.0  # in the shared bucket, in a pending call to it, or queued for the next call
     pool_units: float = 0.0  # the same for the pool of the ceiling
-    local_units: float = 0.0  # in this gateway's own bucket
-    ceiling_tokens_taken: float = 0.0  # of this gateway's own part of the ceiling
-    max_ceiling_tokens: float = 0.0  # units that this part held at most when they were taken
+    local_units: float = 0.0  # by which the request has increased the local bucket's fill
+    ceiling_tokens_taken: float = 0.0  # from this gateway's share of the ceiling
+    max_ceiling_tokens: float = 0.0  # that this share could hold when they were taken
     released: bool = False
 
     def charge(self) -> None:
-        """Takes the units where no call has taken them, once a server has been chosen for the request."""
+        """Takes the units wherever no call has taken them; called when a host has been chosen."""
         restrictor, units = self.restrictor, self.request.units
         self.local_units = restrictor.charge(units)
         if not self.shared_units:
@@ -38,13 +39,16 @@
             self.ceiling_tokens_taken = restrictor.charge_ceiling(units)
 
     def correct(self, true_units: float) -> None:
-        """Takes the true units that an answer tells: both buckets held a guess. A ceiling keeps it."""
+        """Replaces the estimated units by those that a response reports, in the local and shared buckets.
+
+        The ceiling keeps the estimate.
+        """
         difference = true_units - self.request.units
         self.restrictor.fill += difference
         self.shared_units += self.restrictor.queue_admitted(difference)
 
     def release(self) -> None:
-        """Gives all of it back: the request is refused after all, or ends without having been sent on."""
+        """Gives all units back: the request is refused after all, or ends without having been sent."""
         if self.released:
             return
         self.released = True
@@ -55,16 +59,17 @@
         restrictor.refund_ceiling(self.ceiling_tokens_taken, self.max_ceiling_tokens)
 
     def handle_call_not_added(self, amount: float, is_pool: bool) -> None:
-        """A call for this request was surely not added: what it carried besides is told with the next one.
+        """Handles a call for this request that was certainly not added to its entry on the counter.
 
-        Where the request has been released, its units are being taken back, so they are told as well.
+        What the call carried besides the request's own units is queued for the next call. If the request has
+        been released, `release` has queued the removal of its own units, so they are queued as well.
         """
         carried = amount if self.released else amount - (self.pool_units if is_pool else self.shared_units)
         self.restrictor.queue_for_next_call(carried, is_pool)
         self.clear_counter_units(is_pool)
 
     def clear_counter_units(self, is_pool: bool) -> None:
-        """The counter holds no units of the request any more, or a call that takes them back is out."""
+        """Records that the counter holds no units of the request, or that a call to remove them is made."""
         if is_pool:
             self.pool_units = 0.0
         else:
