--- a/tests/quota_books.py
+++ b/tests/quota_books.py
@@ -1,9 +1,9 @@
-"""Plain books of one customer at one gateway, beside a counter that adds exactly what it is told.
+"""Accounts of the units of one customer at one gateway, with a counter whose replies the test controls.
 
-What must hold whenever no call is out: the units on the customer's number, less those of fill-ups, and the
-units that the counter has not been told of, are the units of the requests that were sent on. The same holds
-for the pool of a ceiling and for the requests that were let in by it. A call without an answer may have been
-added; each such call may put the books off by the units of its request and those that it carries besides.
+Whenever no call is pending, the units in the customer's counter entries, without those of fill-ups, together
+with the units queued for the next call must equal the units of the requests that were sent to hosts. The same
+holds for the pool of a ceiling and the requests that it admitted. A call without a usable reply may have been
+added; each such call may shift the balance by the units of its request and by those that it carries besides.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 )
 
 GATEWAYS = 40
-MOST_UNITS = 8.0
+MAX_UNITS = 8.0
 COUNTER_TIMEOUT = 0.05
 CUSTOMER = 1
 BASIC, CEILING = range(2)  # indices of PLANS
-# A burst that no test uses up: the units that the counter is not told of are bounded by a burst.
+# A burst that no test uses up: the units queued for the next call are limited to a burst.
 QUOTA = replace(PLAN, rate=4.0, burst=1000.0)
 PLANS = (
     QUOTA,
@@ -38,24 +38,24 @@
 ROUNDING = 1e-6  # units
 
 
-class Fate(Enum):
-    """What becomes of a call to the counter."""
+class CallResult(Enum):
+    """How a call to the counter ends."""
 
     ADDED = "added"
-    LATE = "answered late"  # added, but the caller has given up waiting
-    LOST = "lost"  # never added, and the caller cannot tell
-    REFUSED = "refused"  # by a 503: surely not added
-    SPOILT = "spoilt"  # added, and answered with no number
-    CLOSED = "closed connection"  # before the call was written: surely not added
+    LATE = "answered late"  # added, but answered after the caller's timeout
+    LOST = "lost"  # not added, which the caller cannot know
+    REJECTED = "rejected"  # with a 503: certainly not added
+    INVALID = "invalid total"  # added, but the answer is not a number
+    NOT_WRITTEN = "not written"  # connection closed before the call was written: certainly not added
 
     @property
     def is_added(self) -> bool:
-        return self in (Fate.ADDED, Fate.LATE, Fate.SPOILT)
+        return self in (CallResult.ADDED, CallResult.LATE, CallResult.INVALID)
 
     @property
     def is_uncertain(self) -> bool:
         """Whether the gateway cannot know if the call was added."""
-        return self in (Fate.LATE, Fate.LOST, Fate.SPOILT)
+        return self in (CallResult.LATE, CallResult.LOST, CallResult.INVALID)
 
 
 class Purpose(Enum):
@@ -63,19 +63,19 @@
 
     REQUEST = "a new request"
     CLIENT_LEFT = "a request whose client has left"
-    TAKE_BACK = "a take-back"
+    TAKE_BACK = "taking units back"
     FILL_UP = "a fill-up"
     POOL = "a pool"
 
 
 @dataclass(slots=True)
-class OpenCall:
-    """A call that the counter has not answered, and the gateway's own record of it."""
+class UnansweredCall:
+    """A call that the counter has not answered, and the gateway's record of it."""
 
     action: api.CounterAdd
     record: PendingCall
     undoes_fill_up: bool
-    request_units: float  # of the request that it was made for; nought where there is none
+    request_units: float  # of the request that it was made for; 0 if there is none
     changes: set[str] = field(default_factory=set)  # what has changed since it was made
 
     @property
@@ -88,7 +88,7 @@
 
     @property
     def uncertainty(self) -> float:
-        """Units that the books may be off by if it may have been added: its own and the carried."""
+        """Units by which the balance may be off if it is not known whether the call was added."""
         return self.request_units + abs(self.action.amount - self.request_units)
 
     @property
@@ -104,12 +104,12 @@
 
 @dataclass(slots=True)
 class Account:
-    """A quota's number or a pool's: all lifetimes of it together (units)."""
+    """Units in all counter entries of a quota, or of a pool, over all rotations."""
 
-    totals: dict[int, float] = field(default_factory=dict)  # by name
+    totals: dict[int, float] = field(default_factory=dict)  # by name of the entry
     by_others: float = 0.0  # added by other gateways
-    fill_ups: float = 0.0  # added by fill-ups, less those that were undone
-    uncertain: float = 0.0  # of calls that may have been added
+    fill_ups: float = 0.0  # added by fill-ups that were not undone
+    uncertain: float = 0.0  # by which calls that may have been added may shift the balance
 
     @property
     def own_total(self) -> float:
@@ -117,44 +117,46 @@
 
 
 @dataclass(slots=True)
-class Ticket:
-    """A request as its client and the hosts know it."""
+class TrackedRequest:
+    """A request as seen by its client and the hosts."""
 
     units: float
     plan: int
     entries: int
-    by_pool: bool = False  # the pool's reply let it in
+    by_pool: bool = False  # admitted by a reply of the pool
     attempts: int = 0
     attempt_out: bool = False
     reached_host: bool = False
     ended: bool = False  # answered, or its client has left
 
     @property
-    def is_sent_on(self) -> bool:
+    def is_sent(self) -> bool:
         return self.attempt_out or self.reached_host
 
 
 class LedgerBench(Bench):
-    """A gateway whose calls to the counter wait until the test decides on their fate."""
+    """A gateway whose calls to the counter stay pending until the test decides on their result."""
 
     def __init__(self, seed: int = 1, **changes: object) -> None:
-        self.calls: dict[int, deque[OpenCall]] = {}  # by name, in the order in which they are answered
+        self.calls: dict[
+            int, deque[UnansweredCall]
+        ] = {}  # by name of the entry, in the order of their answers
         self.quota, self.pool = Account(), Account()
-        self.tickets: dict[str, Ticket] = {}
-        self.reached: Counter[tuple[Fate, Purpose, str]] = Counter()
-        self._silence: Fate | None = None  # what becomes of all calls while the counter answers none
+        self.tracked_requests: dict[str, TrackedRequest] = {}
+        self.calls_by_case: Counter[tuple[CallResult, Purpose, str]] = Counter()
+        self._unanswered_result: CallResult | None = None  # of all calls while the counter does not answer
         self._answered_fill_up = False
-        self._records: list[PendingCall] = []  # of the calls that were seen
+        self._records: list[PendingCall] = []  # of all calls so far
         settings: dict[str, object] = {
             "gateways": GATEWAYS,
             "plans": PLANS,
             "may_count": True,
             "counter_timeout": COUNTER_TIMEOUT,
-            "max_units": math.inf,  # each request is asked about, none stands for others
+            "max_units": math.inf,  # the counter is asked about each request, there is no sampling
             "meter_period": 0.0,
         }
         super().__init__(seed=seed, **{**settings, **changes})
-        self.wait(2.0)  # a gateway that has just started knows no ceiling
+        self.wait(2.0)  # a ceiling has no tokens right after the gateway's start
 
     # What the gateway does
 
@@ -163,181 +165,183 @@
         answered = isinstance(event, api.CounterReply)
         for action in actions:
             if isinstance(action, api.Send):
-                ticket = self.tickets[action.request]
-                assert not ticket.ended and not ticket.attempt_out, action
-                ticket.attempts += 1
-                ticket.attempt_out = True
+                tracked = self.tracked_requests[action.request]
+                assert not tracked.ended and not tracked.attempt_out, action
+                tracked.attempts += 1
+                tracked.attempt_out = True
             elif isinstance(action, api.Refuse | api.Fail):
-                ticket = self.tickets[action.request]
-                assert not ticket.ended, action
-                ticket.ended = True
+                tracked = self.tracked_requests[action.request]
+                assert not tracked.ended, action
+                tracked.ended = True
             elif isinstance(action, api.CounterAdd):
-                self._take_call(action, undoes=answered and self._answered_fill_up)
+                self._take_call(action, undoes_fill_up=answered and self._answered_fill_up)
         return actions
 
     def wait(self, seconds: float) -> list[api.Action]:
         actions = super().wait(seconds)
-        if self.tickets and CUSTOMER not in self.gateway.admission.restrictors:
-            self._begin_anew()
+        if self.tracked_requests and CUSTOMER not in self.gateway.admission.restrictors:
+            self._reset_accounts()
         return actions
 
-    def _begin_anew(self) -> None:
-        """One that is idle for longer than a number lives is forgotten, and its books with it."""
+    def _reset_accounts(self) -> None:
+        """Starts anew, as the gateway has dropped the idle customer and another counter entry serves it."""
         assert IDLE_TIMEOUT_S > COUNTER_ENTRY_ROTATION_S and not self.calls and not self.out()
         self.quota, self.pool = Account(), Account()
-        self.tickets = {name: ticket for name, ticket in self.tickets.items() if not ticket.ended}
+        self.tracked_requests = {
+            name: tracked for name, tracked in self.tracked_requests.items() if not tracked.ended
+        }
 
-    def _take_call(self, action: api.CounterAdd, undoes: bool) -> None:
+    def _take_call(self, action: api.CounterAdd, undoes_fill_up: bool) -> None:
         records = self.gateway.admission.shared_quota.pending[action.name]
         record = next(r for r in records if not any(r is known for known in self._records))
         assert record.amount == action.amount
         self._records.append(record)
         units = record.request.units if record.request else 0.0
-        call = OpenCall(action, record, undoes, units)
-        if undoes:  # from now on the fill-up counts for nothing, whether the counter is told or not
+        call = UnansweredCall(action, record, undoes_fill_up, units)
+        if undoes_fill_up:  # no longer counted as a fill-up, even if this call is not added
             self._account(action.name).fill_ups += action.amount
-        if self._silence:
-            self._record(call, self._silence)
-            self._settle(call, self._silence)
+        if self._unanswered_result:
+            self._count_call(call, self._unanswered_result)
+            self._apply(call, self._unanswered_result)
         else:
             self.calls.setdefault(action.name, deque()).append(call)
 
     def _account(self, name: int) -> Account:
         return self.pool if name >> 24 >= POOL_KEY_OFFSET else self.quota
 
-    # What the test makes happen
+    # What the test triggers
 
     def ask(self, plan: int = BASIC, entries: int = GATEWAYS, units: float = 1.0) -> str:
-        """A client's request; it is asked about if its set is wide enough."""
-        for call in self.open_calls():
+        """Feeds a client's request; the counter is asked if there are enough entry gateways."""
+        for call in self.pending_calls():
             call.changes |= {"plan"} if call.record.restrictor.plan is not PLANS[plan] else set()
             call.changes |= {"set"} if call.record.restrictor.entries != entries else set()
         self.gateway.admission.shared_quota.coverage = COVERAGE_ALL_REQUESTS
         name = f"r{self.serial + 1}"
-        self.tickets[name] = Ticket(units, plan, entries)
+        self.tracked_requests[name] = TrackedRequest(units, plan, entries)
         self.request(CUSTOMER, id=name, plan_index=plan, entry_gateways=entries, units=units)
         return name
 
     def finish(self, name: str, outcome: api.Outcome, **answer: object) -> None:
-        """The attempt that is out ends."""
-        ticket = self.tickets[name]
-        ticket.attempt_out = False
-        ticket.reached_host = ticket.reached_host or outcome is not api.Outcome.NOT_SENT
-        ended = ticket.ended
-        ticket.ended = ended or outcome is api.Outcome.OK
-        self.done(name, outcome, ticket.attempts - 1, request_done=ticket.ended, **answer)
+        """Ends the outstanding attempt."""
+        tracked = self.tracked_requests[name]
+        tracked.attempt_out = False
+        tracked.reached_host = tracked.reached_host or outcome is not api.Outcome.NOT_SENT
+        ended = tracked.ended
+        tracked.ended = ended or outcome is api.Outcome.OK
+        self.done(name, outcome, tracked.attempts - 1, request_done=tracked.ended, **answer)
 
     def leave(self, name: str) -> None:
         """The client leaves, or its time is up."""
-        self.tickets[name].ended = True
+        self.tracked_requests[name].ended = True
         self.feed(api.RequestAbandoned(name))
 
     def drain(self) -> None:
-        """The time of a gateway that ends is up: nobody waits for what it holds any more."""
-        for call in self.open_calls():
+        """Ends the gateway's drain period: no client waits any more for what it holds."""
+        for call in self.pending_calls():
             call.changes.add("drain")
         for name in self.waiting():
             self.leave(name)
 
-    def use_elsewhere(self, units: float, pool: bool = False) -> None:
-        """Another gateway of the customer's set has let in so much."""
+    def add_other_gateways_use(self, units: float, pool: bool = False) -> None:
+        """Adds units that another of the customer's entry gateways has admitted."""
         key = CUSTOMER + POOL_KEY_OFFSET if pool else CUSTOMER
         name, _ = self.gateway.admission.shared_quota._current_counter_entry(self.now, key)
         account = self._account(name)
         account.totals[name] = account.totals.get(name, 0.0) + units
         account.by_others += units
 
-    def number_ends_in(self, pool: bool = False) -> float:
-        """Seconds until another number serves the customer."""
+    def seconds_to_rotation(self, pool: bool = False) -> float:
+        """Seconds until another counter entry serves the customer."""
         key = CUSTOMER + POOL_KEY_OFFSET if pool else CUSTOMER
-        _, began = self.gateway.admission.shared_quota._current_counter_entry(self.now, key)
-        return began + COUNTER_ENTRY_ROTATION_S - self.now
+        _, started_at = self.gateway.admission.shared_quota._current_counter_entry(self.now, key)
+        return started_at + COUNTER_ENTRY_ROTATION_S - self.now
 
-    def pass_over_number_end(self, pool: bool = False) -> None:
-        """Time goes on past the end of the number, and no timer is due before."""
-        for call in self.open_calls():
-            call.changes |= {"number"} if call.is_pool is pool else set()
-        self.now += self.number_ends_in(pool) + 0.001
+    def pass_rotation(self, pool: bool = False) -> None:
+        """Moves the clock past the rotation of the counter's entry without firing timers."""
+        for call in self.pending_calls():
+            call.changes |= {"rotation"} if call.is_pool is pool else set()
+        self.now += self.seconds_to_rotation(pool) + 0.001
 
-    def answer(self, name: int, fate: Fate) -> None:
-        """The counter, or the way to it, decides on the oldest call that names this number."""
+    def answer(self, name: int, result: CallResult) -> None:
+        """Ends the oldest call to this entry with this result."""
         call = self.calls[name].popleft()
         if not self.calls[name]:
             del self.calls[name]
-        self._record(call, fate)
-        total = self._settle(call, fate)
-        reply = api.CounterReply(name, False, 0.0, maybe_added=fate.is_uncertain)
-        if fate is Fate.ADDED:
+        self._count_call(call, result)
+        total = self._apply(call, result)
+        reply = api.CounterReply(name, False, 0.0, maybe_added=result.is_uncertain)
+        if result is CallResult.ADDED:
             reply = api.CounterReply(name, True, total)
-        elif fate is Fate.SPOILT:
+        elif result is CallResult.INVALID:
             reply = api.CounterReply(name, True, math.nan)
         request = call.record.request
         self._answered_fill_up = call.record.is_fill_up
         actions = self.feed(reply)
         self._answered_fill_up = False
         if request and call.is_pool and any(isinstance(a, api.Send) for a in actions):
-            self.tickets[request.id].by_pool = True
+            self.tracked_requests[request.id].by_pool = True
 
-    def feed_total(self) -> None:
-        """The oldest call is added and answered."""
-        self.answer(next(iter(self.calls)), Fate.ADDED)
+    def answer_oldest_call(self) -> None:
+        """Adds the oldest call and answers it."""
+        self.answer(next(iter(self.calls)), CallResult.ADDED)
 
-    def _settle(self, call: OpenCall, fate: Fate) -> float:
-        """Adds the call where it is added, and returns the number's total."""
+    def _apply(self, call: UnansweredCall, result: CallResult) -> float:
+        """Books a call by its result; returns the total of its entry."""
         account, name = self._account(call.action.name), call.action.name
-        if fate.is_uncertain:
+        if result.is_uncertain:
             account.uncertain += call.uncertainty
-        if fate.is_added:
+        if result.is_added:
             account.totals[name] = account.totals.get(name, 0.0) + call.action.amount
             account.fill_ups += call.action.amount if call.record.is_fill_up else 0.0
         return account.totals.get(name, 0.0)
 
-    def _record(self, call: OpenCall, fate: Fate) -> None:
+    def _count_call(self, call: UnansweredCall, result: CallResult) -> None:
         for change in call.changes or {"nothing"}:
-            self.reached[fate, call.purpose, change] += 1
-
-    def fall_silent(self, added: bool) -> None:
-        """No call that is out is ever answered, not even by a time-out of the caller's."""
-        self._silence = Fate.LATE if added else Fate.LOST
-        for call in self.open_calls():
-            self._record(call, self._silence)
-            self._settle(call, self._silence)
+            self.calls_by_case[result, call.purpose, change] += 1
+
+    def stop_answering(self, added: bool) -> None:
+        """Leaves all pending calls unanswered, and the caller without a reply for their timeout."""
+        self._unanswered_result = CallResult.LATE if added else CallResult.LOST
+        for call in self.pending_calls():
+            self._count_call(call, self._unanswered_result)
+            self._apply(call, self._unanswered_result)
         self.calls.clear()
         while self.gateway.admission.shared_quota.pending:
             self.wait(0.1)
-        self._silence = None
+        self._unanswered_result = None
 
-    # What must hold
+    # State and checks
 
-    def open_calls(self) -> list[OpenCall]:
+    def pending_calls(self) -> list[UnansweredCall]:
         return [call for queue in self.calls.values() for call in queue]
 
     def waiting(self) -> list[str]:
         """Requests whose clients wait for an answer."""
-        return [name for name, ticket in self.tickets.items() if not ticket.ended]
+        return [name for name, tracked in self.tracked_requests.items() if not tracked.ended]
 
     def out(self) -> list[str]:
         """Requests with an attempt out, whether their clients wait or have left."""
-        return [name for name, ticket in self.tickets.items() if ticket.attempt_out]
+        return [name for name, tracked in self.tracked_requests.items() if tracked.attempt_out]
 
-    def sent_on(self, by_pool: bool) -> float:
-        """Units of the requests that were sent on, of all or of those that the pool let in."""
-        tickets = self.tickets.values()
-        return sum(t.units for t in tickets if t.is_sent_on and (t.by_pool or not by_pool))
+    def sent_units(self, by_pool: bool) -> float:
+        """Units of the requests that were sent to hosts: of all, or of those that the pool admitted."""
+        tracked_requests = self.tracked_requests.values()
+        return sum(t.units for t in tracked_requests if t.is_sent and (t.by_pool or not by_pool))
 
-    def check_books(self) -> None:
-        """Holds both accounts against the requests that were sent on; only when no call is out."""
+    def check_accounts(self) -> None:
+        """Checks both accounts against the requests that were sent; only allowed while no call is pending."""
         assert not self.calls
         restrictor = self.gateway.admission.restrictors.get(CUSTOMER)
         if restrictor is None:
             return
-        self._check("quota", self.quota, restrictor.unreported_units, self.sent_on(by_pool=False))
-        self._check("pool", self.pool, restrictor.unreported_pool_units, self.sent_on(by_pool=True))
+        self._check("quota", self.quota, restrictor.unreported_units, self.sent_units(by_pool=False))
+        self._check("pool", self.pool, restrictor.unreported_pool_units, self.sent_units(by_pool=True))
 
     @staticmethod
-    def _check(kind: str, account: Account, untold: float, sent_on: float) -> None:
-        off = account.own_total + untold - sent_on
+    def _check(kind: str, account: Account, unreported: float, sent_units: float) -> None:
+        off = account.own_total + unreported - sent_units
         assert abs(off) <= account.uncertain + ROUNDING, (
-            f"{kind}: the books are off by {off:+g} units (counter {account.own_total:g}, untold {untold:g}, "
-            f"sent on {sent_on:g}; {account.uncertain:g} uncertain)"
+            f"{kind}: off by {off:+g} units (counter {account.own_total:g}, unreported {unreported:g}, "
+            f"sent {sent_units:g}; {account.uncertain:g} uncertain)"
         )
--- a/tests/test_counter_calls.py
+++ b/tests/test_counter_calls.py
@@ -1,4 +1,4 @@
-"""Calls to the counter over sockets."""
+"""Calls to the shared counter over real sockets."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     return answer(body=value.encode())
 
 
-def test_a_call_names_amount_and_life_and_gets_the_total() -> None:
+def test_a_call_sends_amount_and_lifetime_and_receives_the_total() -> None:
     async def test() -> None:
         async with counter() as (calls, peer, replies):
             calls.add(8, -2.5, 4.0)
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize(
-    ("reply", "maybe"),
+    ("reply", "maybe_added"),
     [
         (answer(503), False),
         (answer(400), False),
@@ -61,17 +61,17 @@
         (total("x"), True),
     ],
 )
-def test_what_was_turned_away_is_a_plain_no(reply: bytes, maybe: bool) -> None:
+def test_a_call_counts_as_maybe_added_unless_the_counter_rejects_it(reply: bytes, maybe_added: bool) -> None:
     async def test() -> None:
         async with counter() as (calls, peer, replies):
             calls.add(8, 1.0, 4.0)
             (await peer.next()).reply(reply)
-            assert await soon(replies.get()) == CounterReply(8, False, 0.0, maybe_added=maybe)
+            assert await soon(replies.get()) == CounterReply(8, False, 0.0, maybe_added=maybe_added)
 
     run(test())
 
 
-def test_a_refused_connection_is_a_plain_no_and_a_break_a_maybe() -> None:
+def test_a_call_may_be_added_if_the_connection_breaks_but_not_if_it_is_refused() -> None:
     async def test() -> None:
         async with counter() as (calls, peer, replies):
             calls.add(8, 1.0, 4.0)
@@ -90,7 +90,7 @@
     run(test())
 
 
-def test_a_late_answer_is_not_taken_for_the_next_calls() -> None:
+def test_a_late_answer_is_not_matched_to_the_next_call() -> None:
     async def test() -> None:
         async with counter(time_out=0.05) as (calls, peer, replies):
             calls.add(8, 1.0, 4.0)
@@ -108,7 +108,7 @@
     run(test())
 
 
-def test_a_silent_connection_is_given_up_and_made_anew(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_connection_without_answers_is_closed_and_replaced(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         async with counter(time_out=0.05) as (calls, peer, replies):
             calls.add(8, 1.0, 4.0)
@@ -124,7 +124,7 @@
     run(test())
 
 
-def test_an_idle_connection_is_closed_before_the_counter_does(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_idle_connection_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         async with counter() as (calls, peer, replies):
             calls.add(8, 1.0, 4.0)
@@ -136,7 +136,7 @@
     run(test())
 
 
-def test_a_retired_counter_ends_its_calls_with_their_one_reply_and_closes() -> None:
+def test_a_retired_counter_gives_each_call_one_reply_and_closes() -> None:
     async def test() -> None:
         async with counter() as (calls, peer, replies):
             calls.add(8, 1.0, 4.0)
@@ -150,7 +150,7 @@
     run(test())
 
 
-def test_a_call_that_a_retired_counter_leaves_unanswered_may_have_been_added() -> None:
+def test_a_call_unanswered_by_a_retired_counter_may_have_been_added() -> None:
     async def test() -> None:
         async with counter() as (calls, peer, replies):
             calls.add(8, 1.0, 4.0)
@@ -166,8 +166,8 @@
 @pytest.mark.parametrize(
     "body", [b"", b"nan", b"inf", b"1_0", b"+3", b"0x1", b"9" * 100, b"<html>", b"x" * 9000]
 )
-def test_an_answer_without_a_number_ends_its_connection(body: bytes) -> None:
-    """The amount was added; what else comes on that connection is of no use."""
+def test_an_answer_that_is_not_a_number_closes_the_connection(body: bytes) -> None:
+    """The amount may have been added, and nothing that follows on the connection can be trusted."""
 
     async def test() -> None:
         async with counter() as (calls, peer, replies):
@@ -182,8 +182,8 @@
     run(test())
 
 
-def test_nothing_behind_a_spoilt_answer_is_taken_for_a_total() -> None:
-    """In the same breath, too: the calls behind may have been added, and their answers are not known."""
+def test_nothing_after_an_invalid_answer_counts_as_a_total() -> None:
+    """Also within the same segment: later calls may have been added, but their answers are unknown."""
 
     async def test() -> None:
         async with counter() as (calls, peer, replies):
@@ -198,7 +198,7 @@
     run(test())
 
 
-def test_what_was_not_asked_for_ends_the_connection_and_is_nobodys_total() -> None:
+def test_an_answer_without_a_call_closes_the_connection_and_is_dropped() -> None:
     async def test() -> None:
         async with counter() as (calls, peer, replies):
             calls.add(8, 1.0, 4.0)
@@ -212,7 +212,7 @@
     run(test())
 
 
-def test_a_head_without_end_ends_the_connection() -> None:
+def test_an_endless_response_head_closes_the_connection() -> None:
     async def test() -> None:
         async with counter() as (calls, peer, replies):
             calls.add(8, 1.0, 4.0)
--- a/tests/test_quota_faults.py
+++ b/tests/test_quota_faults.py
@@ -1,4 +1,4 @@
-"""Odd readings, totals and silences that once disturbed a customer's quota for longer than they lasted."""
+"""Wrong readings, wrong totals and lost replies must not disturb a quota for longer than they last."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from coralvale.restrictor import RATE_UPDATE_INTERVAL_S
 from coralvale.shared_quota import MAX_CALL_UNITS
 
-FAR_OFF = 1e8  # units that a total may be too high by, where a counter has kept what it should have lost
+EXCESS_UNITS = 1e8  # units by which a total is too high, as of a counter that has kept an expired entry
 
 
-def test_a_request_of_a_plan_without_a_ceiling_takes_nothing_from_its_customer_s() -> None:
+def test_a_request_of_a_plan_without_a_ceiling_takes_no_ceiling_tokens() -> None:
     bench = QuotaBench(may_count=False)
     bench.wait(1.0)
     bench.request(plan_index=CAPPED, entry_gateways=1)
@@ -26,31 +26,33 @@
     assert restrictor.ceiling_tokens == before
 
 
-def test_a_total_that_is_far_off_refuses_no_longer_than_its_number_lives() -> None:
+def test_a_total_that_is_far_too_high_refuses_only_until_its_entry_is_rotated_out() -> None:
     bench = LedgerBench()
-    bench.use_elsewhere(FAR_OFF)
+    bench.add_other_gateways_use(EXCESS_UNITS)
     bench.ask()
-    bench.feed_total()
-    bench.feed_total()  # of the call that takes the refused request's units back
+    bench.answer_oldest_call()
+    bench.answer_oldest_call()  # the call that takes the refused request's units back
     assert bench.gateway.admission.restrictors[1].shared_blocked_until > bench.now
-    bench.pass_over_number_end()
+    bench.pass_rotation()
     name = bench.ask()
-    bench.feed_total()
+    bench.answer_oldest_call()
     assert name in bench.out()
 
 
-def test_a_pool_s_total_that_is_far_off_refuses_no_longer_than_its_number_lives() -> None:
+def test_a_pool_total_that_is_far_too_high_refuses_only_until_its_entry_is_rotated_out() -> None:
     bench = LedgerBench()
-    bench.use_elsewhere(FAR_OFF, pool=True)
+    bench.add_other_gateways_use(EXCESS_UNITS, pool=True)
     bench.ask(CEILING, units=8.0)
-    bench.feed_total()  # of the quota
-    bench.feed_total()  # of the pool
+    bench.answer_oldest_call()  # to the shared bucket
+    bench.answer_oldest_call()  # to the pool
     restrictor = bench.gateway.admission.restrictors[1]
-    assert bench.now < restrictor.pool_blocked_until <= bench.now + bench.number_ends_in(pool=True) + 1e-6
+    assert (
+        bench.now < restrictor.pool_blocked_until <= bench.now + bench.seconds_to_rotation(pool=True) + 1e-6
+    )
 
 
-def test_one_huge_reading_holds_the_leak_rate_down_for_seconds_only() -> None:
-    """The bound is twice the steps that a reading of a few times the quota takes to be forgotten."""
+def test_one_huge_reading_lowers_the_leak_rate_for_seconds_only() -> None:
+    """What follows the reading is twice as long as it takes to forget one of a few times the quota."""
     bench = QuotaBench(may_count=False)
     for second in range(60):
         name, _ = bench.request(entry_gateways=2, units=2.0)
@@ -62,7 +64,7 @@
     assert bench.gateway.admission.restrictors[1].smoothed_usage == pytest.approx(0.5, rel=0.1)
 
 
-def test_the_effect_of_a_huge_reading_is_that_of_one_that_is_far_over_any_quota() -> None:
+def test_a_huge_reading_has_the_same_effect_as_one_far_above_the_quota() -> None:
     rates = []
     for reading in (100.0, 1e300):
         bench = QuotaBench(may_count=False)
@@ -76,36 +78,38 @@
 
 
 @pytest.mark.parametrize("units", [9.0, 1e6, 1e300])
-def test_true_units_that_no_request_may_take_settle_nothing(units: float) -> None:
-    """Requests take eight units at most here; by the simulator's wire any number comes through."""
+def test_true_units_above_the_maximum_are_ignored(units: float) -> None:
+    """Requests take eight units at most here, but the simulator's protocol lets any number through."""
     bench = QuotaBench()
     name, _ = bench.request(units=2.0)
     bench.answer(name, units=units)
     assert bench.gateway.admission.restrictors[1].fill == 2.0
 
 
-def test_all_calls_to_a_silent_counter_end_together() -> None:
-    """Calls that name one number, and hosts without time-outs of their own: none waits for those ahead."""
+def test_all_calls_to_a_counter_that_does_not_answer_time_out_together() -> None:
+    """Calls to the same entry without a timeout at the caller: none waits for those before it to time out."""
     bench = LedgerBench()
     names = [bench.ask() for _ in range(20)]
-    assert len(bench.open_calls()) == 20
+    assert len(bench.pending_calls()) == 20
     bench.calls.clear()
     bench.wait(2 * COUNTER_TIMEOUT + TICK + 0.01)
-    assert [name for name in names if name not in bench.out() and not bench.tickets[name].ended] == []
+    assert [
+        name for name in names if name not in bench.out() and not bench.tracked_requests[name].ended
+    ] == []
 
 
 @pytest.mark.parametrize("plan", [OPEN_ONLY, BASIC, CAPPED])
-def test_an_idle_customer_s_restrictor_is_dropped_whatever_its_plan(plan: int) -> None:
+def test_an_idle_customers_restrictor_is_dropped_whatever_its_plan(plan: int) -> None:
     bench = QuotaBench(may_count=False)
-    bench.wait(1.0)  # one that has just started lets nothing in by a ceiling
+    bench.wait(1.0)  # a ceiling has no tokens right after the gateway's start
     name, _ = bench.request(plan_index=plan)
     bench.answer(name)
     bench.wait(2 * IDLE_TIMEOUT_S)
     assert bench.gateway.admission.restrictors == {}
 
 
-def test_a_restrictor_is_kept_while_its_part_of_the_ceiling_is_short() -> None:
-    """A plan whose ceiling takes longer to fill than a customer is remembered would get it anew."""
+def test_a_restrictor_is_kept_while_its_ceiling_tokens_are_short() -> None:
+    """If the ceiling takes longer to fill than the idle timeout, a new restrictor would refill it."""
     plan = PLANS[CEILING]
     seconds = 10 * IDLE_TIMEOUT_S
     slow = type(plan)(plan.name, 100.0, 1e3, excess_cost=1.0, ceiling_rate=1e3 / seconds, ceiling_burst=1e3)
@@ -122,12 +126,12 @@
 
 
 @pytest.mark.parametrize("total", [-1e12, -3e9, -1e300])
-def test_no_call_is_over_what_the_counter_takes(total: float) -> None:
-    """A total far below nought is filled up in steps; the counter turns away larger amounts."""
+def test_no_call_exceeds_the_maximum_amount(total: float) -> None:
+    """A total far below zero is filled up in several calls; the counter rejects larger amounts."""
     bench = LedgerBench()
     for _ in range(5):
         bench.ask()
-        (call,) = bench.open_calls()
+        (call,) = bench.pending_calls()
         bench.calls.clear()
         for action in bench.feed(api.CounterReply(call.action.name, True, total)):
             if isinstance(action, api.CounterAdd):
@@ -136,7 +140,7 @@
         bench.gateway.admission.shared_quota.pending.clear()
 
 
-def test_what_is_untold_beyond_what_a_call_may_carry_waits_for_the_next() -> None:
+def test_queued_units_beyond_the_maximum_amount_stay_queued() -> None:
     bench = LedgerBench()
     bench.ask(entries=1)
     restrictor = bench.gateway.admission.restrictors[1]
@@ -144,15 +148,15 @@
     amounts = []
     for _ in range(3):
         bench.ask()
-        amounts.append(bench.open_calls()[-1].action.amount)
+        amounts.append(bench.pending_calls()[-1].action.amount)
     assert amounts[:2] == [-MAX_CALL_UNITS, -MAX_CALL_UNITS]
     assert sum(amounts) == pytest.approx(-2.5 * MAX_CALL_UNITS + 3.0)
 
 
-def test_a_correction_of_true_units_reaches_the_shared_bucket() -> None:
+def test_a_correction_to_the_true_units_reaches_the_shared_bucket() -> None:
     bench = LedgerBench(post_paid=True, max_units=8.0)
     name = bench.ask(units=2.0)
-    bench.feed_total()
-    bench.tickets[name].units = 5.0
+    bench.answer_oldest_call()
+    bench.tracked_requests[name].units = 5.0
     bench.finish(name, api.Outcome.OK, units=5.0)
-    bench.check_books()
+    bench.check_accounts()
