--- a/coralvale/admission.py
+++ b/coralvale/admission.py
@@ -17,7 +17,9 @@
 from coralvale.shared_quota import Calls, PendingCall, SharedQuota, has_total
 from coralvale.state import Admitted, Decision, Pending, Reason, Refused
 
-EXCESS_COST_FACTOR = 2.0  # on the net cost of requests beyond the quota, as such costs are limited besides
+EXCESS_COST_FACTOR = (
+    2.0  # on the net cost of a request beyond the quota; above 1, as the total of such costs is limited too
+)
 SIZE_PENALTY_EXPONENT = 3.0  # of the fall in admission probability with a request's size
 MEAN_UNITS_EWMA_WEIGHT = 0.02  # of the newest request in the mean units of its plan
 IDLE_TIMEOUT_S = 60.0  # after which a customer's restrictor is dropped, once its bucket is empty
@@ -112,7 +114,7 @@
         self.shared_quota.abandon_request(request)
 
     def overdue_replies(self, now: float) -> list[api.CounterReply]:
-        """Replies to feed in place of lost ones, so that neither the request nor its units are lost."""
+        """Failed replies to handle in place of lost ones, so that neither requests nor units are lost."""
         return [
             api.CounterReply(name, False, 0.0, maybe_added=True)
             for name in self.shared_quota.overdue_calls(now)
--- a/coralvale/shared_quota.py
+++ b/coralvale/shared_quota.py
@@ -3,7 +3,9 @@
 A gateway that sees one of a customer's requests in many seconds cannot tell how much the customer uses. It
 asks the counter instead: one call adds the request's units to the customer's entry and returns the entry's
 total. The counter itself does not leak. The fill of the shared bucket is the total less what has leaked at
-the plan's rate since the entry came into use. The request is admitted if the fill is within the burst.
+the plan's rate since the entry came into use. The request is admitted if that fill, its own units included,
+is within the burst; otherwise another call takes the units back. Units that a local bucket has admitted are
+queued, and added with the gateway's next call.
 
 Entries are rotated: each serves a customer for a fixed time, then another takes its place, with an empty
 bucket. Units that leak but were never used make the computed fill negative. An idle customer must not save
@@ -30,7 +32,7 @@
 ROTATION_PHASES = 97  # points in the rotation time at which entries are replaced, spread over the customers
 MIN_TIME_LEFT_TIMEOUTS = 4.0  # counter timeouts that a request must have left for the counter to be asked
 REPLY_LOST_TIMEOUTS = 2.0  # counter timeouts after which a reply is taken to be lost
-UNDO_FILL_UP_THRESHOLD = 0.5  # share of UNDERFLOW_TOLERANCE; a fill-up from a smaller underflow is undone
+UNDO_FILL_UP_THRESHOLD = 0.5  # share of UNDERFLOW_TOLERANCE; fill-ups of a smaller underflow are undone
 INITIAL_COVERAGE = 0.75  # below 1, as all gateways may start at once
 COVERAGE_ALL_CUSTOMERS = 1.0  # coverage from which on all customers are counted
 COVERAGE_ALL_REQUESTS = 2.0  # the highest coverage: small requests are no longer sampled, all are asked about
@@ -47,7 +49,7 @@
 # Multiples of it, modulo 1, spread the customers' numbers evenly over 0 to 1.
 GOLDEN_RATIO_CONJUGATE = (math.sqrt(5) - 1) / 2
 MEAN_PRICE_EWMA_WEIGHT = 0.05  # of the newest request in the mean price of plans
-MIN_DELAY_DRIFT_PER_S = 0.01  # share by which the lowest delay seen is raised; the counter may have moved
+MIN_DELAY_DRIFT_PER_S = 0.01  # share by which the lowest delay seen is raised, as the counter may have moved
 MAX_CALL_UNITS = 1e9  # that one call may add or take back; the counter rejects more
 NEW_ENTRY_TOLERANCE = 1e-6  # share of a call's amount by which the total of a new entry may exceed it
 Calls = list[api.Action]  # calls to the counter, to be made in this order
--- a/tests/test_counter_calls.py
+++ b/tests/test_counter_calls.py
@@ -183,7 +183,7 @@
 
 
 def test_nothing_after_an_invalid_answer_counts_as_a_total() -> None:
-    """Also within the same segment: later calls may have been added, but their answers are unknown."""
+    """Also if both arrive together: later calls may have been added, but their answers are unknown."""
 
     async def test() -> None:
         async with counter() as (calls, peer, replies):
--- a/tests/test_quota_input.py
+++ b/tests/test_quota_input.py
@@ -58,9 +58,8 @@
         self.attempts: dict[str, int] = {}  # by request: number of its newest attempt
         self.calls: list[api.CounterAdd] = []  # to the counter, without a reply so far
         self.requests_by_customer = dict[int, list[api.Request]]()  # by customer
-        self.corrected = dict[
-            int, float
-        ]()  # by customer: estimated units corrected since its bucket last leaked
+        # By customer: estimated units corrected since its bucket last leaked.
+        self.corrected = dict[int, float]()
         self.true_units = 0.0  # reported by responses
         super().__init__(seed=seed, **{**settings, **changes})
         self.set_full_coverage()
@@ -264,9 +263,8 @@
     assert bench.ends[name] == [] and not bench.out()
     shared = bench.gateway.admission.shared_quota
     started_at = shared.pending[call.name][0].bucket.started_at
-    bench.answer_oldest_call(
-        call.amount + PLAN.rate * (bench.now - started_at)
-    )  # a fill of 0 before the call
+    # The total of a bucket that was empty before the call.
+    bench.answer_oldest_call(call.amount + PLAN.rate * (bench.now - started_at))
     before = (shared.coverage, shared.congestion, shared.min_delay)
     assert bench.feed(api.CounterReply(call.name, True, 1e6)) == []  # a second reply to the same call
     assert before == (shared.coverage, shared.congestion, shared.min_delay)
