--- a/coralvale/net/config.py
+++ b/coralvale/net/config.py
@@ -12,16 +12,16 @@
 from coralvale.adapter import Fields, read_settings, read_value, whole
 
 Address = tuple[str, int]
-Place = tuple[str, float, Address]  # a host: its id, when it started, where it listens
+HostInstance = tuple[str, float, Address]  # a host: its id, when it started, where it listens
 
 
-LAST_PORT = 65535
-FEWEST_SOCKETS = 64  # descriptors, under which a gateway cannot serve
+MAX_PORT = 65535
+MIN_SOCKETS = 64  # descriptors, under which a gateway cannot serve
 # What holds where the file leaves it out.
-SOCKETS = 1024  # descriptors
-CONNECT_TIMEOUT = 0.25  # s
-CONN_IDLE = 15.0  # s
-MOST_HELD = 20_000  # requests
+DEFAULT_SOCKETS = 1024  # descriptors
+DEFAULT_CONNECT_TIMEOUT_S = 0.25  # s
+DEFAULT_CONN_IDLE_S = 15.0  # s
+DEFAULT_MOST_HELD = 20_000  # requests
 
 
 class ConfigError(ValueError):
@@ -36,10 +36,10 @@
     counter: Address | None
     seed: int
     sockets: int
-    known: dict[str, Any]
+    known_hosts: dict[str, Any]
     settings: api.Settings
     zones: tuple[str, ...]
-    kinds: tuple[str, ...]
+    machine_types: tuple[str, ...]
     connect_timeout: float
     conn_idle: float
     most_held: int
@@ -47,7 +47,7 @@
 
 def read_address(text: str) -> Address:
     host, colon, port = text.rpartition(":")
-    if not (host and colon and port.isdecimal() and int(port) <= LAST_PORT):
+    if not (host and colon and port.isdecimal() and int(port) <= MAX_PORT):
         raise ValueError(f"{text!r} is no address:port")
     host = host.strip("[]")
     try:
@@ -108,16 +108,16 @@
         discovery=read_address(data["discovery"]),
         counter=read_address(data["counter"]) if data.get("counter") else None,
         seed=int(str(data["seed"]), 16),
-        sockets=int(data.get("limits", {}).get("sockets", SOCKETS)),
-        known=data.get("known") or {},
+        sockets=int(data.get("limits", {}).get("sockets", DEFAULT_SOCKETS)),
+        known_hosts=data.get("known") or {},
         settings=read_settings(pairs),
         zones=names("zones"),
-        kinds=names("skus"),
-        connect_timeout=read_value(pairs, "ceilings.connect_timeout_s", float, CONNECT_TIMEOUT),
-        conn_idle=read_value(pairs, "ceilings.conn_idle_s", float, CONN_IDLE),
-        most_held=read_value(pairs, "ceilings.most_held", whole, MOST_HELD),
+        machine_types=names("skus"),
+        connect_timeout=read_value(pairs, "ceilings.connect_timeout_s", float, DEFAULT_CONNECT_TIMEOUT_S),
+        conn_idle=read_value(pairs, "ceilings.conn_idle_s", float, DEFAULT_CONN_IDLE_S),
+        most_held=read_value(pairs, "ceilings.most_held", whole, DEFAULT_MOST_HELD),
     )
-    if config.sockets < FEWEST_SOCKETS:
+    if config.sockets < MIN_SOCKETS:
         raise ValueError(f"limits.sockets: {config.sockets} is under 64")
     for name in ("connect_timeout", "conn_idle", "most_held"):
         if not getattr(config, name) > 0:
--- a/coralvale/net/discovery.py
+++ b/coralvale/net/discovery.py
@@ -15,7 +15,7 @@
 import httptools
 
 from coralvale import interface as api
-from coralvale.net.config import Address, Place, read_address
+from coralvale.net.config import Address, HostInstance, read_address
 
 log = logging.getLogger(__name__)
 
@@ -52,7 +52,7 @@
     address: Address
 
     @property
-    def place(self) -> Place:
+    def place(self) -> HostInstance:
         return self.server.id, self.server.started_at, self.address
 
     @property
@@ -68,7 +68,7 @@
         address: Address,
         zones: tuple[str, ...],
         kinds: tuple[str, ...],
-        on_change: Callable[[api.ListKind, tuple[api.HostInfo, ...], list[Place]], None],
+        on_change: Callable[[api.ListKind, tuple[api.HostInfo, ...], list[HostInstance]], None],
         silent: float = SILENT,
         callers: int = 0,
         grace: float = math.inf,
--- a/coralvale/net/node.py
+++ b/coralvale/net/node.py
@@ -19,7 +19,7 @@
 from coralvale import interface as api
 from coralvale.interface import Outcome
 from coralvale.net.clock import Clock
-from coralvale.net.config import Address, Config, Place
+from coralvale.net.config import Address, Config, HostInstance
 from coralvale.net.counter import Counter
 from coralvale.net.discovery import Discovery, Endpoint
 from coralvale.net.server import NOT_PASSED_ON, Arrival, Exchange, Server
@@ -101,7 +101,7 @@
         self.discovery = Discovery(
             config.discovery,
             config.zones,
-            config.kinds,
+            config.machine_types,
             self._listed,
             callers=config.settings.gateways if config.settings.list_on_request else 0,
             grace=config.settings.drain_grace,
@@ -122,7 +122,7 @@
         }
 
     def start(self) -> None:
-        self.discovery.apply(self.config.known, cached=True)
+        self.discovery.apply(self.config.known_hosts, cached=True)
         self.watching = self.loop.create_task(self.discovery.run())
         self.server.start()
         self.discovery.on_answer = self._settle
@@ -395,7 +395,9 @@
 
     # The list of hosts
 
-    def _listed(self, kind: api.ListKind, servers: tuple[api.HostInfo, ...], stale: list[Place]) -> None:
+    def _listed(
+        self, kind: api.ListKind, servers: tuple[api.HostInfo, ...], stale: list[HostInstance]
+    ) -> None:
         for place in stale:
             self.upstreams.retire(place)
         self.feed(api.HostList(kind, servers))
--- a/coralvale/net/upstream.py
+++ b/coralvale/net/upstream.py
@@ -21,7 +21,7 @@
 
 from coralvale.interface import Outcome
 from coralvale.net.clock import Clock
-from coralvale.net.config import Address, Place
+from coralvale.net.config import Address, HostInstance
 
 MAX_BODY = 64 * 1024
 MAX_HEAD = 64 * 1024  # bytes before the body of an answer, interim answers among them
@@ -80,7 +80,7 @@
     broke: bool = False  # its connection had come up, and broke
 
     @property
-    def place(self) -> Place:
+    def place(self) -> HostInstance:
         return self.server, self.started_at, self.address
 
     def end(self, outcome: Outcome, answer: Answer | None = None) -> None:
@@ -390,7 +390,7 @@
         self.idle_limit = IdleLimit(idle * IDLE_SHARE)
         self.report_fields = report_fields
         self.open = 0  # connections up or being opened
-        self.pools: dict[Place, Pool] = {}
+        self.pools: dict[HostInstance, Pool] = {}
         self.tasks: set[asyncio.Task[None]] = set()
         self.connections: set[Connection] = set()
         self.loop = asyncio.get_running_loop()
@@ -453,7 +453,7 @@
                 return
         pool.release(connection)
 
-    def retire(self, place: Place) -> None:
+    def retire(self, place: HostInstance) -> None:
         """A host drains, has gone, restarted or moved: what is out ends as ever, no connection is kept."""
         if pool := self.pools.pop(place, None):
             pool.retire()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -28,11 +28,11 @@
 )
 
 from coralvale import interface as api
-from coralvale.net.config import Place
+from coralvale.net.config import HostInstance
 from coralvale.net.discovery import TURNS, Discovery
 from coralvale.net.node import TOLD
 
-News = tuple[api.ListKind, tuple[api.HostInfo, ...], list[Place]]
+News = tuple[api.ListKind, tuple[api.HostInfo, ...], list[HostInstance]]
 
 
 @dataclass
@@ -267,7 +267,9 @@
         await agent.start()
         heard = loop.create_future()
 
-        def on_change(kind: api.ListKind, servers: tuple[api.HostInfo, ...], stale: list[Place]) -> None:
+        def on_change(
+            kind: api.ListKind, servers: tuple[api.HostInfo, ...], stale: list[HostInstance]
+        ) -> None:
             if any(s.state is api.HostState.DRAINING for s in servers) and not heard.done():
                 heard.set_result(loop.time())
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -112,4 +112,4 @@
     }
     config = parse_config(json.loads(json.dumps(data)))
     assert config.settings.gateways == SIZE and config.settings.index == SIZE - 1
-    assert len(config.known["endpoints"]) == SIZE
+    assert len(config.known_hosts["endpoints"]) == SIZE
