--- a/tests/net_helpers.py
+++ b/tests/net_helpers.py
@@ -73,25 +73,25 @@
     uvloop.run(limited())
 
 
-class Jumping(selectors.DefaultSelector):
+class FakeTimeSelector(selectors.DefaultSelector):
     """Time that stands still while sockets have something to tell, then jumps to what comes next."""
 
-    STILL = 0.002  # s, real ones, in which what was sent on loopback has come
+    IDLE_WAIT_S = 0.002  # s, real ones, in which what was sent on loopback has come
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 1000.0
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        events = super().select(timeout and min(timeout, self.STILL))
+        events = super().select(timeout and min(timeout, self.IDLE_WAIT_S))
         if timeout and not events:
             self.now += timeout
         return events
 
 
-def run_jumping(test: Coroutine[Any, Any, None]) -> None:
+def run_in_fake_time(test: Coroutine[Any, Any, None]) -> None:
     """Runs a test on real sockets, but in fake time: seconds of waiting cost nothing and are exact."""
-    selector = Jumping()
+    selector = FakeTimeSelector()
     loop = asyncio.SelectorEventLoop(selector)
     loop.time = lambda: selector.now  # type: ignore[method-assign]
     try:
@@ -101,7 +101,7 @@
         loop.close()
 
 
-class StillClock:
+class ManualClock:
     """In place of the module `time`: the time that connections are judged by moves with the test only."""
 
     def __init__(self) -> None:
@@ -111,7 +111,7 @@
         return self.now
 
 
-async def soon(awaitable: Awaitable[Any]) -> Any:
+async def with_timeout(awaitable: Awaitable[Any]) -> Any:
     return await asyncio.wait_for(awaitable, LIMIT)
 
 
@@ -159,7 +159,7 @@
         self.writer.write(data)
 
     async def receive(self) -> Message:
-        return await soon(read_message(self.reader))
+        return await with_timeout(read_message(self.reader))
 
     async def ask(self, data: bytes) -> Message:
         self.send(data)
@@ -168,7 +168,7 @@
     async def at_end(self) -> bool:
         """Whether the gateway has ended the connection, with nothing more sent."""
         try:
-            return await soon(self.reader.read()) == b""
+            return await with_timeout(self.reader.read()) == b""
         except ConnectionError:
             return True
 
@@ -177,13 +177,13 @@
 
 
 def request(
-    id: str = "r1", cls: str = "read", target: str = "/api", body: bytes = b"", **headers: str | None
+    id: str = "r1", class_name: str = "read", target: str = "/api", body: bytes = b"", **headers: str | None
 ) -> bytes:
     """A request in PROTOCOL's form; a header given as None is left out."""
     fields: dict[str, str | None] = {
         "Host": "service.internal",
         "X-Request-ID": id,
-        "X-Priority-Class": cls,
+        "X-Priority-Class": class_name,
         "Plan": "team",
         "Cookie": "client=00000000b4d65521",
         "X-Timeout": "30",
@@ -192,7 +192,7 @@
     }
     if body:
         fields["Content-Length"] = str(len(body))
-    method = "GET" if cls == "read" else "POST"
+    method = "GET" if class_name == "read" else "POST"
     lines = [f"{method} {target} HTTP/1.1", *(f"{k}: {v}" for k, v in fields.items() if v is not None)]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
@@ -210,7 +210,7 @@
     return started, go
 
 
-class Script:
+class ScriptedGateway:
     """In the module's place: records the events and answers each as the test has laid down."""
 
     def __init__(self) -> None:
@@ -229,11 +229,11 @@
 
 
 @dataclass
-class World:
+class RunningGateway:
     node: Node
     registry: Registry
     counter: Peer
-    script: Script
+    script: ScriptedGateway
     clients: list[Client] = field(default_factory=list)
 
     async def client(self) -> Client:
@@ -251,9 +251,9 @@
 
 
 @contextlib.asynccontextmanager
-async def world(
+async def running_gateway(
     *known: dict[str, Any], real: bool = False, sockets: int = 256, **changes: dict[str, Any]
-) -> AsyncIterator[World]:
+) -> AsyncIterator[RunningGateway]:
     """A gateway that has started; unless `real`, a script decides in the module's place."""
     registry, counter = Registry(), Peer()
     await registry.start()
@@ -270,11 +270,11 @@
             "settings": settings(**changes),
         }
     )
-    node, script = Node(config), Script()
+    node, script = Node(config), ScriptedGateway()
     if not real:
         node.gateway = script  # type: ignore[assignment]
     node.start()
-    result = World(node, registry, counter, script)
+    result = RunningGateway(node, registry, counter, script)
     try:
         yield result
     finally:
--- a/tests/test_counter_calls.py
+++ b/tests/test_counter_calls.py
@@ -8,7 +8,7 @@
 from collections.abc import AsyncIterator
 
 import pytest
-from net_helpers import Arrived, Peer, answer, run, soon, until
+from net_helpers import Arrived, Peer, answer, run, until, with_timeout
 
 from coralvale.interface import CounterReply
 from coralvale.net.counter import Counter
@@ -32,7 +32,7 @@
             arrived = await peer.next()
             assert arrived.message.first == b"POST /tally/8?n=-2.500000&keep_ms=4000 HTTP/1.1"
             arrived.reply(total("38.5"))
-            assert await soon(replies.get()) == CounterReply(8, True, 38.5)
+            assert await with_timeout(replies.get()) == CounterReply(8, True, 38.5)
 
     run(test())
 
@@ -46,7 +46,7 @@
             assert {a.connection for a in arrived} == {1}
             for i, a in enumerate(arrived):
                 a.reply(total(str(i)))
-            assert [(await soon(replies.get())).total for _ in range(3)] == [0.0, 1.0, 2.0]
+            assert [(await with_timeout(replies.get())).total for _ in range(3)] == [0.0, 1.0, 2.0]
 
     run(test())
 
@@ -66,7 +66,7 @@
         async with counter() as (calls, peer, replies):
             calls.add(8, 1.0, 4.0)
             (await peer.next()).reply(reply)
-            assert await soon(replies.get()) == CounterReply(8, False, 0.0, maybe_added=maybe)
+            assert await with_timeout(replies.get()) == CounterReply(8, False, 0.0, maybe_added=maybe)
 
     run(test())
 
@@ -76,16 +76,16 @@
         async with counter() as (calls, peer, replies):
             calls.add(8, 1.0, 4.0)
             (await peer.next()).reset()
-            assert await soon(replies.get()) == CounterReply(8, False, 0.0, maybe_added=True)
+            assert await with_timeout(replies.get()) == CounterReply(8, False, 0.0, maybe_added=True)
             with socket.socket() as closed:
                 closed.bind(("127.0.0.1", 0))
                 calls.address = closed.getsockname()
                 calls.add(8, 1.0, 4.0)
-                assert await soon(replies.get()) == CounterReply(8, False, 0.0, maybe_added=False)
+                assert await with_timeout(replies.get()) == CounterReply(8, False, 0.0, maybe_added=False)
             calls.address = peer.address
             calls.add(8, 1.0, 4.0)
             (await peer.next()).reply(total("1"))
-            assert (await soon(replies.get())).ok
+            assert (await with_timeout(replies.get())).ok
 
     run(test())
 
@@ -95,14 +95,14 @@
         async with counter(time_out=0.05) as (calls, peer, replies):
             calls.add(8, 1.0, 4.0)
             late = await peer.next()
-            assert await soon(replies.get()) == CounterReply(8, False, 0.0, maybe_added=True)
+            assert await with_timeout(replies.get()) == CounterReply(8, False, 0.0, maybe_added=True)
             calls.time_out = 20.0
             calls.add(8, 1.0, 4.0)
             own = await peer.next()
             assert own.connection == late.connection
             late.reply(total("100"))
             own.reply(total("200"))
-            assert await soon(replies.get()) == CounterReply(8, True, 200.0)
+            assert await with_timeout(replies.get()) == CounterReply(8, True, 200.0)
             assert replies.empty()
 
     run(test())
@@ -112,13 +112,13 @@
     async def test() -> None:
         async with counter(time_out=0.05) as (calls, peer, replies):
             calls.add(8, 1.0, 4.0)
-            assert (await soon(replies.get())).maybe_added
+            assert (await with_timeout(replies.get())).maybe_added
             await until(lambda: peer.closed == 1)
             calls.time_out = 20.0
             calls.add(8, 1.0, 4.0)
             await peer.next()
             (await peer.next()).reply(total("1"))
-            assert (await soon(replies.get())).ok and peer.connections == 2
+            assert (await with_timeout(replies.get())).ok and peer.connections == 2
 
     monkeypatch.setattr("coralvale.net.counter.STUCK", 0.01)
     run(test())
@@ -129,7 +129,7 @@
         async with counter() as (calls, peer, replies):
             calls.add(8, 1.0, 4.0)
             (await peer.next()).reply(total("1"))
-            assert (await soon(replies.get())).ok
+            assert (await with_timeout(replies.get())).ok
             await until(lambda: peer.closed == 1)
 
     monkeypatch.setattr("coralvale.net.counter.IDLE", 0.01)
@@ -143,7 +143,7 @@
             arrived = await peer.next()
             calls.retire()
             arrived.reply(total("3"))
-            assert await soon(replies.get()) == CounterReply(8, True, 3.0)
+            assert await with_timeout(replies.get()) == CounterReply(8, True, 3.0)
             await until(lambda: peer.closed == 1)
             assert replies.empty()
 
@@ -157,7 +157,7 @@
             await peer.next()
             calls.retire()
             peer.stop()
-            assert await soon(replies.get()) == CounterReply(8, False, 0.0, maybe_added=True)
+            assert await with_timeout(replies.get()) == CounterReply(8, False, 0.0, maybe_added=True)
             assert replies.empty()
 
     run(test())
@@ -173,11 +173,11 @@
         async with counter() as (calls, peer, replies):
             calls.add(8, 1.0, 4.0)
             (await peer.next()).reply(answer(body=body))
-            assert await soon(replies.get()) == CounterReply(8, False, 0.0, maybe_added=True)
+            assert await with_timeout(replies.get()) == CounterReply(8, False, 0.0, maybe_added=True)
             await until(lambda: peer.closed == 1)
             calls.add(8, 1.0, 4.0)
             (await peer.next()).reply(total("2"))
-            assert await soon(replies.get()) == CounterReply(8, True, 2.0)
+            assert await with_timeout(replies.get()) == CounterReply(8, True, 2.0)
 
     run(test())
 
@@ -192,7 +192,7 @@
             await peer.next()
             (await peer.next()).reply(answer(body=b"<html>") + total("77"))
             for _ in range(2):
-                assert await soon(replies.get()) == CounterReply(8, False, 0.0, maybe_added=True)
+                assert await with_timeout(replies.get()) == CounterReply(8, False, 0.0, maybe_added=True)
             await until(lambda: peer.closed == 1)
 
     run(test())
@@ -203,11 +203,11 @@
         async with counter() as (calls, peer, replies):
             calls.add(8, 1.0, 4.0)
             (await peer.next()).reply(total("5") + total("77"))
-            assert await soon(replies.get()) == CounterReply(8, True, 5.0)
+            assert await with_timeout(replies.get()) == CounterReply(8, True, 5.0)
             await until(lambda: peer.closed == 1)
             calls.add(8, 1.0, 4.0)
             (await peer.next()).reply(total("6"))
-            assert await soon(replies.get()) == CounterReply(8, True, 6.0)
+            assert await with_timeout(replies.get()) == CounterReply(8, True, 6.0)
 
     run(test())
 
@@ -217,7 +217,7 @@
         async with counter() as (calls, peer, replies):
             calls.add(8, 1.0, 4.0)
             (await peer.next()).reply(b"HTTP/1.1 200 OK\r\nX: " + b"x" * 100_000)
-            assert await soon(replies.get()) == CounterReply(8, False, 0.0, maybe_added=True)
+            assert await with_timeout(replies.get()) == CounterReply(8, False, 0.0, maybe_added=True)
             await until(lambda: peer.closed == 1)
 
     run(test())
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -22,9 +22,9 @@
     entry,
     line,
     run,
-    run_jumping,
-    soon,
+    run_in_fake_time,
     until,
+    with_timeout,
 )
 
 from coralvale import interface as api
@@ -42,7 +42,7 @@
     news: asyncio.Queue[News] = field(default_factory=asyncio.Queue)
 
     async def told(self) -> News:
-        return await soon(self.news.get())
+        return await with_timeout(self.news.get())
 
 
 @contextlib.asynccontextmanager
@@ -293,7 +293,7 @@
             nonlocal worst
             worst = max(worst, await test(9.0 + step * 0.37))
 
-        run_jumping(phased())
+        run_in_fake_time(phased())
     assert turn <= worst < TOLD
 
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -16,10 +16,10 @@
 import pytest
 from net_helpers import (
     SETTINGS,
+    ManualClock,
     Peer,
     Registry,
-    StillClock,
-    World,
+    RunningGateway,
     answer,
     chunk,
     entry,
@@ -27,10 +27,10 @@
     line,
     request,
     run,
-    run_jumping,
-    soon,
+    run_in_fake_time,
+    running_gateway,
     until,
-    world,
+    with_timeout,
 )
 
 from coralvale import interface as api
@@ -41,7 +41,7 @@
 from coralvale.net.upstream import REST, Attempt
 
 
-def send_all(w: World, *servers: str, until_in: float = 60.0) -> None:
+def send_all(w: RunningGateway, *servers: str, until_in: float = 60.0) -> None:
     """First and further attempts go to `servers` in turn; after the last the request fails."""
     left = list(servers)
 
@@ -56,7 +56,7 @@
 def test_a_request_goes_on_and_the_answer_comes_back_unchanged(cls: str, method: bytes) -> None:
     async def test() -> None:
         host = await Peer().start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             send_all(w, "s-1")
             client = await w.client()
             body = os.urandom(60_000) if cls == "write" else b""
@@ -82,7 +82,7 @@
 def test_the_module_decides_on_each_further_attempt() -> None:
     async def test() -> None:
         host = await Peer().start()
-        async with world(entry("s-1", host.port), entry("s-2", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port), entry("s-2", host.port)) as w:
             send_all(w, "s-1", "s-2", "unknown")
             client = await w.client()
             client.send(request())
@@ -102,7 +102,7 @@
 def test_an_attempt_ends_at_its_time_and_the_request_at_the_clients() -> None:
     async def test() -> None:
         host = await Peer().start()
-        async with world(entry("s-1", host.port), entry("s-2", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port), entry("s-2", host.port)) as w:
             send_all(w, "s-1", "s-2", until_in=0.05)
             assert (await w.ask(request())).status == 504
             assert [d.outcome for d in w.script.of(api.AttemptDone)] == [Outcome.TIMEOUT] * 2
@@ -117,7 +117,7 @@
 
 def test_a_module_that_says_nothing_loses_no_request() -> None:
     async def test() -> None:
-        async with world() as w:
+        async with running_gateway() as w:
             message = await w.ask(request(X_Timeout="0.1"))
             assert message.status == 503 and w.script.of(api.RequestAbandoned) == [api.RequestAbandoned("r1")]
             w.script.on(api.Request, lambda e: [api.Refuse(e.id, 0.1), api.Fail(e.id), api.Refuse(e.id)])
@@ -131,7 +131,7 @@
 def test_an_attempt_has_one_outcome_after_the_client_left_too() -> None:
     async def test() -> None:
         host = await Peer().start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             send_all(w, "s-1")
             client = await w.client()
             client.send(request())
@@ -150,7 +150,7 @@
 def test_a_cancelled_attempt_is_closed_and_told_once() -> None:
     async def test() -> None:
         host = await Peer().start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             send_all(w, "s-1")
             client = await w.client()
             client.send(request())
@@ -170,13 +170,13 @@
     async def test() -> None:
         host = await Peer(answer()).start()
         known = entry("s-1", host.port)
-        async with world(known) as w:
+        async with running_gateway(known) as w:
             send_all(w, "s-1")
             watch = await w.registry.watch()
             started, go = hold_connects(w.node.upstreams)
             client = await w.client()
             client.send(request())
-            await soon(started.wait())
+            await with_timeout(started.wait())
             seen = len(w.script.of(api.HostList))
             if change == "client":
                 client.close()
@@ -207,7 +207,7 @@
 
     async def test() -> None:
         host, first = await Peer(answer()).start(), await Peer().start()
-        async with world(entry("s-1", host.port), entry("s-2", first.port)) as w:
+        async with running_gateway(entry("s-1", host.port), entry("s-2", first.port)) as w:
             send_all(w, "s-1", *["s-2"] * (attempt == "further"), "s-1")
             await w.ask(request("warm"))
             pool = next(iter(w.node.upstreams.pools.values()))
@@ -233,7 +233,7 @@
 
     async def test() -> None:
         host = await Peer(answer()).start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             _, go = hold_connects(w.node.upstreams)
             if waits == "for a connection":
                 w.script.on(api.Request, lambda e: [api.Send(e.id, "s-1", 0.0)])
@@ -262,7 +262,7 @@
 
     async def test() -> None:
         host = await Peer().start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             client = await w.client()
             w.script.on(api.Request, fail)
             assert (await client.ask(request("r1", "write"))).status == 503  # nothing was sent: no harm
@@ -289,7 +289,7 @@
 def test_a_finished_request_leaves_nothing_behind() -> None:
     async def test() -> None:
         host = await Peer(answer()).start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             send_all(w, *["s-1"] * 20)
             client = await w.client()
             assert (await client.ask(request("r0"))).status == 200
@@ -311,7 +311,7 @@
 def test_probes_and_counts_are_answered() -> None:
     async def test() -> None:
         host = await Peer(answer()).start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             w.script.on(
                 api.Request, lambda e: [api.Probe("s-1"), api.Probe("none"), api.CounterAdd(5, 2.0, 1.0)]
             )
@@ -331,7 +331,7 @@
 def test_the_inherited_module_serves_over_sockets() -> None:
     async def test() -> None:
         hosts = [await Peer(answer(body=b"served")).start() for _ in range(3)]
-        async with world(*(entry(f"s-{i}", h.port) for i, h in enumerate(hosts)), real=True) as w:
+        async with running_gateway(*(entry(f"s-{i}", h.port) for i, h in enumerate(hosts)), real=True) as w:
             client = await w.client()
             for i in range(50):
                 assert (await client.ask(request(f"r{i}", "write", body=b"x"))).body == b"served"
@@ -351,7 +351,7 @@
 def test_after_sigterm_all_that_was_taken_is_answered() -> None:
     async def test() -> None:
         host = await Peer().start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             send_all(w, "s-1", "s-1", "s-1")
             idle, busy = await w.client(), await w.client()
             busy.send(request("r1"))
@@ -371,7 +371,7 @@
                 message = await client.receive()
                 assert message.body == b"done" and message.headers[b"connection"] == b"close"
                 assert await client.at_end()
-            await soon(w.node.stopped)
+            await with_timeout(w.node.stopped)
         host.stop()
 
     run(test())
@@ -382,7 +382,7 @@
 
     async def test() -> None:
         host = await Peer().start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             send_all(w, "s-1", "s-1", "s-1")
             client = await w.client()
             third = request("r3")
@@ -401,7 +401,7 @@
             message = await client.receive()
             assert message.body == b"r3" and message.headers[b"connection"] == b"close"
             assert await client.at_end()
-            await soon(w.node.stopped)
+            await with_timeout(w.node.stopped)
         host.stop()
 
     run(test())
@@ -412,7 +412,7 @@
 
     async def test() -> None:
         host = await Peer().start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             send_all(w, "s-1", "s-1")
             client = await w.client()
             client.send(request("r1") + request("r2", Plan="unknown") + request("r3"))
@@ -430,7 +430,7 @@
     run(test())
 
 
-def stop_by_hand(w: World) -> list[tuple[float, Any]]:
+def stop_by_hand(w: RunningGateway) -> list[tuple[float, Any]]:
     """SIGTERM, with the steps of the drain left to the test: when each is due, and what it does."""
     steps: list[tuple[float, Any]] = []
     loop = w.node.loop
@@ -449,7 +449,7 @@
 
     async def test() -> None:
         host = await Peer(answer(body=b"done")).start()
-        async with world(entry("s-1", host.port), classes=short(0.2)) as w:
+        async with running_gateway(entry("s-1", host.port), classes=short(0.2)) as w:
             send_all(w, "s-1")
             for due, step in stop_by_hand(w):
                 if due <= 0.4:
@@ -458,7 +458,7 @@
         host.stop()
 
     monkeypatch.setattr(Clock, "now", lambda _: 1000.0)  # a late loop must not use up the short deadline
-    run_jumping(test())
+    run_in_fake_time(test())
 
 
 def test_a_new_connection_has_time_for_its_first_request_in_a_drain(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -466,7 +466,7 @@
 
     async def test() -> None:
         host = await Peer(answer(body=b"done")).start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             send_all(w, "s-1")
             idle = await w.client()
             assert (await idle.ask(b"GET /up HTTP/1.1\r\n\r\n")).status == 503
@@ -480,7 +480,7 @@
             assert (await client.ask(request())).body == b"done"
         host.stop()
 
-    clock = StillClock()
+    clock = ManualClock()
     monkeypatch.setattr("coralvale.net.server.time", clock)
     run(test())
 
@@ -490,7 +490,7 @@
 
     async def test() -> None:
         hung, other = await Peer().start(), await Peer(answer(body=b"done")).start()
-        async with world(entry("s-1", hung.port), entry("s-2", other.port)) as w:
+        async with running_gateway(entry("s-1", hung.port), entry("s-2", other.port)) as w:
             send_all(w, "s-2", "s-1", "s-2")
             assert (await w.ask(request("r1"))).body == b"done"
             (kept,) = w.node.upstreams.connections  # and rested: a send on it would leave at once
@@ -515,7 +515,7 @@
 def test_sigterm_finds_a_request_at_each_of_its_stages_and_answers_it_once(waits: str) -> None:
     async def test() -> None:
         host = await Peer().start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             started, go = hold_connects(w.node.upstreams)
             w.script.on(api.Request, lambda e: [api.CounterAdd(7, 1.0, 4.0)])
             w.script.on(api.CounterReply, lambda e: [api.Send("r1", "s-1", 0.0)])
@@ -525,7 +525,7 @@
             if waits == "for the counter":
                 w.node.stop()
             call.reply(answer(body=b"1"))
-            await soon(started.wait())
+            await with_timeout(started.wait())
             if waits == "for a connection":
                 w.node.stop()
             go.set()
@@ -536,7 +536,7 @@
             message = await client.receive()
             assert message.body == b"done" and message.headers[b"connection"] == b"close"
             assert await client.at_end()
-            await soon(w.node.stopped)
+            await with_timeout(w.node.stopped)
         host.stop()
 
     run(test())
@@ -547,7 +547,7 @@
 
     async def test() -> None:
         host = await Peer().start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             w.script.on(api.Request, lambda e: [api.Send(e.id, "s-1", 0.0)])
             client, body = await w.client(), os.urandom(64 * 1024)
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
@@ -565,7 +565,7 @@
             assert all(message.body == body for message in answers)
             assert b"connection" not in answers[0].headers and answers[-1].headers[b"connection"] == b"close"
             assert await client.at_end()
-            await soon(w.node.stopped)
+            await with_timeout(w.node.stopped)
         host.stop()
 
     run(test())
@@ -575,7 +575,7 @@
     async def test() -> None:
         host, registry, counter = await Peer().start(), Registry(), await Peer().start()
         await registry.start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             send_all(w, "s-1")
             client = await w.client()
             client.send(request("r1"))
@@ -586,14 +586,14 @@
             arrived.reply(answer(body=b"done"))
             message = await client.receive()
             assert message.body == b"done" and message.headers[b"connection"] == b"close"
-            await soon(w.node.stopped)
+            await with_timeout(w.node.stopped)
         for peer in (host, registry, counter):
             peer.stop()
 
     run(test())
 
 
-def connect_unseen(w: World, count: int) -> list[socket.socket]:
+def connect_unseen(w: RunningGateway, count: int) -> list[socket.socket]:
     """Connections that the kernel accepts while the loop, which gets no turn here, sees none of them."""
     address = ("127.0.0.1", w.node.server.port)
     return [socket.create_connection(address) for _ in range(count)]
@@ -609,7 +609,7 @@
     connection.setblocking(False)
     reader, writer = await asyncio.open_connection(sock=connection)
     try:
-        return bytes(await soon(reader.read()))
+        return bytes(await with_timeout(reader.read()))
     except ConnectionError:
         return b""
     finally:
@@ -620,7 +620,7 @@
     return await asyncio.gather(*map(read_to_end, connections))
 
 
-def take_steps(w: World, *names: str) -> None:
+def take_steps(w: RunningGateway, *names: str) -> None:
     """SIGTERM, then steps of the drain that are overdue together: the loop reads nothing between them."""
     steps = {step.__name__: step for _, step in stop_by_hand(w)}
     for name in names:
@@ -635,7 +635,7 @@
 
     async def test() -> None:
         host = await Peer(answer(body=b"done")).start()
-        async with world(entry("s-1", host.port), sockets=1024) as w:
+        async with running_gateway(entry("s-1", host.port), sockets=1024) as w:
             w.script.on(api.Request, lambda e: [api.Send(e.id, "s-1", 0.0)])
             waiting = connect_unseen(w, 100)
             if writes == "before the listener is closed":
@@ -657,7 +657,7 @@
 
     async def test() -> None:
         host = await Peer(answer(body=b"done")).start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             w.script.on(api.Request, lambda e: [api.Send(e.id, "s-1", 0.0)])
             waiting = connect_unseen(w, 9)
             send_numbered(waiting)
@@ -675,7 +675,7 @@
 
     async def test() -> None:
         host = await Peer().start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             w.script.on(api.Request, lambda e: [api.Send(e.id, "s-1", 0.0)])
             w.node.server.most, w.node.server.surplus = 1, 0
             busy = await w.client()
@@ -698,7 +698,7 @@
     """The last steps of a drain come due together, ahead of the requests that the kernel holds already."""
 
     async def test() -> None:
-        async with world() as w:
+        async with running_gateway() as w:
 
             async def end_when_stopped() -> None:
                 """As the program does, whose loop cancels what still runs."""
@@ -716,7 +716,7 @@
             time.sleep(2 * FLUSH)  # noqa: ASYNC251 - the loop itself is late
             answers = await read_all_to_end(connections)
             assert [each[:12] for each in answers] == [b"HTTP/1.1 503"] * 4
-            await soon(ending)
+            await with_timeout(ending)
 
     monkeypatch.setattr("coralvale.net.node.DEADLINE", 0.0)
     monkeypatch.setattr("coralvale.net.node.KILLED", BEFORE)  # the drain's time is up at once
@@ -726,14 +726,14 @@
 def test_what_is_unanswered_before_the_kill_is_answered_then(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         host = await Peer().start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             send_all(w, "s-1")
             client = await w.client()
             client.send(request())
             await host.next()
             w.node.stop()
             assert (await client.receive()).status == 504
-            await soon(w.node.stopped)
+            await with_timeout(w.node.stopped)
         host.stop()
 
     monkeypatch.setattr("coralvale.net.node.DEADLINE", 0.5)
@@ -747,7 +747,7 @@
         hosts = [await Peer(answer()).start(), await Peer(answer()).start()]
         fast = {**SETTINGS["classes"][0], "aim_s": 2.0}
         known = [entry(f"s-{host.port}", host.port) for host in hosts]
-        async with world(*known, real=True, classes=[fast, SETTINGS["classes"][1]]) as w:
+        async with running_gateway(*known, real=True, classes=[fast, SETTINGS["classes"][1]]) as w:
             client = await w.client()
             for number in range(100):  # so that it knows what is usual
                 assert (await client.ask(request(f"r{number}"))).status == 200
@@ -758,7 +758,7 @@
             tasks = [asyncio.create_task(host.arrived.get()) for host in hosts]
             (first,), (other,) = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
             first.result().reply(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort")
-            (await soon(other)).reply(answer(body=b"whole"))
+            (await with_timeout(other)).reply(answer(body=b"whole"))
             assert (await client.receive()).body == b"whole"
             assert w.node.clock.now() - begun < 20.0  # the client would wait for 30 s
         for host in hosts:
@@ -775,7 +775,7 @@
         fast = {**SETTINGS["classes"][0], "aim_s": 1.0}
         plan = {"name": "team", "per_second": 0.01, "most_at_once": 1.0}
         changes = {"classes": [fast, SETTINGS["classes"][1]], "packages": [plan]}
-        async with world(
+        async with running_gateway(
             entry("s-1", host.port), real=True, family_info={"may_count": False}, **changes
         ) as w:
             client = await w.client()
@@ -796,7 +796,7 @@
 
     async def test() -> None:
         ceilings = {"most_held": 1, "retry_after": allowed}
-        async with world(ceilings=ceilings, classes=short(0.3), sockets=64) as w:
+        async with running_gateway(ceilings=ceilings, classes=short(0.3), sockets=64) as w:
             first, second = await w.client(), await w.client()
             first.send(request("r1"))
             await until(lambda: w.node.held)
@@ -822,7 +822,7 @@
             {"name": "mean", "per_second": 0.01, "most_at_once": 1.0},
             {"name": "team", "per_second": 1000.0, "most_at_once": 1000.0},
         ]
-        async with world(entry("s-1", host.port), real=True, packages=plans) as w:
+        async with running_gateway(entry("s-1", host.port), real=True, packages=plans) as w:
             client = await w.client()
             wrong = request("r1", Plan="mean", Quota_Info="units=1,spread=3,first=0")
             assert (await client.ask(wrong)).status == 200
@@ -842,7 +842,7 @@
         host = await Peer().start()
         plan = {"name": "team", "per_second": 0.001, "most_at_once": 6.0, "excess_cost": 1.0}
         family = {"may_count": False, "most_units": 4, "post_paid": True, "use_period_s": 0.0}
-        async with world(
+        async with running_gateway(
             entry("s-1", host.port), real=True, packages=[plan], family_info=family, n_instances=1
         ) as w:
             client = await w.client()
@@ -868,7 +868,7 @@
         if ceiling:
             plan |= {"per_second": 9.0, "most_at_once": 9.0, "never_over_rate": 0.001, "hard_burst": 1.5}
         family = {"may_count": False, "use_period_s": 0.0}
-        async with world(
+        async with running_gateway(
             entry("s-1", host.port), real=True, packages=[plan], family_info=family, n_instances=1
         ) as w:
             started, go = hold_connects(w.node.upstreams)
@@ -876,7 +876,7 @@
             sets = {"Quota_Info": "units=1,spread=1,first=0"}
             first, second = await w.client(), await w.client()
             first.send(request("r1", **sets))
-            await soon(started.wait())
+            await with_timeout(started.wait())
             first.close()
             await until(lambda: w.node.held["r1"].answered)
             go.set()
@@ -896,7 +896,7 @@
         host = await Peer(answer()).start()
         plan = {"name": "team", "per_second": 1.0, "most_at_once": 6.0, "excess_cost": 1.0}
         changes = {"packages": [plan], "family_info": {"may_count": False}}
-        async with world(entry("s-1", host.port), real=True, **changes) as w:
+        async with running_gateway(entry("s-1", host.port), real=True, **changes) as w:
             client = await w.client()
             headers = {"Quota_Info": "units=1,spread=3,first=1"}
             first = [(await client.ask(request(f"a{i}", **headers))).status for i in range(3)]
@@ -913,7 +913,7 @@
 
     async def test() -> None:
         host = await Peer().start()
-        async with world(entry("s-1", host.port), real=True) as w:
+        async with running_gateway(entry("s-1", host.port), real=True) as w:
             client = await w.client()
             seen = w.node.gateway.hosts["s-1"]
             for number in range(5):
@@ -931,9 +931,9 @@
                 assert (await client.receive()).status == 503
             assert seen.retry_at > w.node.clock.now()
         gone = await Peer().start()
-        async with world(entry("s-1", gone.port), real=True) as w:
+        async with running_gateway(entry("s-1", gone.port), real=True) as w:
             gone.stop()
-            await soon(gone.server.wait_closed())
+            await with_timeout(gone.server.wait_closed())
             assert (await w.ask(request())).status == 503
             assert w.node.gateway.hosts["s-1"].retry_at > w.node.clock.now()
         host.stop()
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -29,7 +29,7 @@
     request,
     run,
     settings,
-    soon,
+    with_timeout,
 )
 
 from coralvale.__main__ import EarlyReload, serve
@@ -72,7 +72,7 @@
 async def end(process: asyncio.subprocess.Process) -> None:
     """Ends a program as operators do; it has to end in order."""
     process.send_signal(signal.SIGTERM)
-    _, errors = await soon(process.communicate())
+    _, errors = await with_timeout(process.communicate())
     assert process.returncode == 0 and b"Traceback" not in errors
 
 
@@ -140,7 +140,7 @@
         if text is not None:
             path.write_text(text)
         process = await start(path)
-        _, err = await soon(process.communicate())
+        _, err = await with_timeout(process.communicate())
         assert process.returncode == 2
         assert err.startswith(b"coralvale: ") and err.count(b"\n") == 1
 
@@ -155,7 +155,7 @@
             path = tmp_path / "config.json"
             path.write_text(json.dumps(config(listen=f"127.0.0.1:{taken.getsockname()[1]}")))
             process = await start(path)
-            _, err = await soon(process.communicate())
+            _, err = await with_timeout(process.communicate())
             assert process.returncode == 1
             assert err.startswith(b"coralvale: ") and err.count(b"\n") == 1
 
@@ -178,7 +178,7 @@
         assert not [name for name in threads if name.startswith("iou-")]  # kernel threads that poll
         process.send_signal(signal.SIGTERM)
         assert await client.at_end()
-        await soon(process.communicate())
+        await with_timeout(process.communicate())
         assert process.returncode == 0
         host.stop()
         registry.stop()
@@ -212,7 +212,7 @@
             client.send(request()[:-2])
         if sockets > 64:
             assert process.stderr is not None
-            await soon(process.stderr.readuntil(b"cannot accept"))
+            await with_timeout(process.stderr.readuntil(b"cannot accept"))
         for client in flood:
             client.writer.transport.abort()
         after = await up(port)
@@ -392,7 +392,7 @@
                     await asyncio.sleep(0.005)
         process.send_signal(signal.SIGTERM)
         assert (await client.ask(b"GET /up HTTP/1.1\r\n\r\n")).status in (200, 503)
-        _, errors = await soon(process.communicate())
+        _, errors = await with_timeout(process.communicate())
         assert process.returncode == 0 and b"Traceback" not in errors
         registry.stop()
 
@@ -419,7 +419,7 @@
         arrived = await host.next()
         path.write_text("{")
         process.send_signal(signal.SIGHUP)
-        await soon(process.stderr.readuntil(b"keeping the old configuration"))
+        await with_timeout(process.stderr.readuntil(b"keeping the old configuration"))
         path.write_text(json.dumps(config(**more)))
         process.send_signal(signal.SIGHUP)  # nothing is new in it
         more |= {"discovery": f"127.0.0.1:{moved.port}", "counter": f"127.0.0.1:{free_port()}"}
@@ -436,7 +436,7 @@
         assert moved.connections == 1
         process.send_signal(signal.SIGTERM)
         process.send_signal(signal.SIGHUP)
-        await soon(process.communicate())
+        await with_timeout(process.communicate())
         assert process.returncode == 0
         for peer in (host, other, registry, moved):
             peer.stop()
@@ -490,7 +490,7 @@
         serving = asyncio.ensure_future(serve(first, str(path), early))
         await moved.watch()
         os.kill(os.getpid(), signal.SIGTERM)
-        await soon(serving)
+        await with_timeout(serving)
         registry.stop()
         moved.stop()
 
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -6,7 +6,17 @@
 import socket
 
 import pytest
-from net_helpers import Client, StillClock, World, entry, request, run, soon, until, world
+from net_helpers import (
+    Client,
+    ManualClock,
+    RunningGateway,
+    entry,
+    request,
+    run,
+    running_gateway,
+    until,
+    with_timeout,
+)
 
 from coralvale import interface as api
 from coralvale.net.server import IDLE, PARTIAL
@@ -14,13 +24,13 @@
 MOMENT = 0.001  # s by which a time limit is passed
 
 
-def refuse_all(w: World) -> None:
+def refuse_all(w: RunningGateway) -> None:
     w.script.on(api.Request, lambda e: [api.Refuse(e.id, 0.25)])
 
 
 def test_a_request_reaches_the_module_as_it_came() -> None:
     async def test() -> None:
-        async with world() as w:
+        async with running_gateway() as w:
             refuse_all(w)
             before = w.node.clock.now()
             message = await w.ask(request("r7", "write", body=b"x", X_Timeout="0.480"))
@@ -60,17 +70,17 @@
         (request(Quota_Info="units=1,spread=4,first=1"), 400),
         (request(Quota_Info="units=1,spread=2,first=3"), 400),
         (request().replace(b"GET", b"POST"), 400),
-        (request(cls="write").replace(b"POST", b"GET"), 400),
+        (request(class_name="write").replace(b"POST", b"GET"), 400),
         (request().replace(b"Plan: team\r\n", b"Plan: team\r\nPlan: team\r\n"), 400),
-        (request(cls="write", body=b"x" * (64 * 1024 + 1)), 413),
-        (request(cls="write", Content_Length="99999999999"), 413),
-        (request(cls="write", Content_Length="-1"), 400),
-        (request(cls="write", Content_Length="+1") + b"x", 400),
-        (request(cls="write", Content_Length="1, 1") + b"x", 400),
-        (request(cls="write", Content_Length="1\r\nContent-Length: 1") + b"x", 400),
-        (request(cls="write", Content_Length="5", Transfer_Encoding="chunked") + b"0\r\n\r\n", 400),
-        (request(cls="write", Transfer_Encoding="chunked", Content_Length="5") + b"0\r\n\r\n", 400),
-        (request(cls="write", Transfer_Encoding="gzip, chunked") + b"0\r\n\r\n", 400),
+        (request(class_name="write", body=b"x" * (64 * 1024 + 1)), 413),
+        (request(class_name="write", Content_Length="99999999999"), 413),
+        (request(class_name="write", Content_Length="-1"), 400),
+        (request(class_name="write", Content_Length="+1") + b"x", 400),
+        (request(class_name="write", Content_Length="1, 1") + b"x", 400),
+        (request(class_name="write", Content_Length="1\r\nContent-Length: 1") + b"x", 400),
+        (request(class_name="write", Content_Length="5", Transfer_Encoding="chunked") + b"0\r\n\r\n", 400),
+        (request(class_name="write", Transfer_Encoding="chunked", Content_Length="5") + b"0\r\n\r\n", 400),
+        (request(class_name="write", Transfer_Encoding="gzip, chunked") + b"0\r\n\r\n", 400),
         (request(Quota_Info="units=1e9,spread=2,first=1"), 400),
         (request(Quota_Info="units=4.5,spread=2,first=1"), 400),
         (request(Quota_Info="units=0.001,spread=2,first=1"), 400),
@@ -82,7 +92,7 @@
 )
 def test_what_is_not_in_the_protocols_form_reaches_nobody(data: bytes, status: int) -> None:
     async def test() -> None:
-        async with world(entry("s-1", 1)) as w:
+        async with running_gateway(entry("s-1", 1)) as w:
             assert (await w.ask(data)).status == status
             assert not w.script.of(api.Request)
 
@@ -91,10 +101,10 @@
 
 def test_a_request_may_come_in_pieces_and_a_connection_is_kept() -> None:
     async def test() -> None:
-        async with world() as w:
+        async with running_gateway() as w:
             refuse_all(w)
             client = await w.client()
-            data = request(cls="write", body=b"12345")
+            data = request(class_name="write", body=b"12345")
             for i in range(len(data)):
                 client.send(data[i : i + 1])
                 await client.writer.drain()
@@ -108,7 +118,7 @@
 
 def test_pipelined_requests_are_answered_in_order() -> None:
     async def test() -> None:
-        async with world() as w:
+        async with running_gateway() as w:
             w.script.on(
                 api.Request, lambda e: [api.Refuse("r2", 2.0), api.Refuse("r1", 1.0)][: e.id == "r2" and 2]
             )
@@ -123,7 +133,7 @@
 
 def test_many_pipelined_requests_are_all_answered() -> None:
     async def test() -> None:
-        async with world() as w:
+        async with running_gateway() as w:
             refuse_all(w)
             client = await w.client()
             client.send(b"".join(request(f"r{i}") for i in range(60)))
@@ -135,7 +145,7 @@
 
 def test_a_connection_is_closed_where_the_client_says_so() -> None:
     async def test() -> None:
-        async with world() as w:
+        async with running_gateway() as w:
             refuse_all(w)
             client = await w.client()
             message = await client.ask(request(Connection="close"))
@@ -147,7 +157,7 @@
 
 def test_a_client_that_leaves_is_told_to_the_module_once() -> None:
     async def test() -> None:
-        async with world() as w:
+        async with running_gateway() as w:
             client = await w.client()
             client.send(request("r1"))
             await until(lambda: w.script.of(api.Request))
@@ -166,7 +176,7 @@
 
 def test_a_second_request_under_an_id_in_use_is_turned_away() -> None:
     async def test() -> None:
-        async with world() as w:
+        async with running_gateway() as w:
             client = await w.client()
             client.send(request("r1"))
             await until(lambda: w.script.of(api.Request))
@@ -178,7 +188,7 @@
 
 def test_the_most_held_is_kept_and_the_surplus_refused_at_once() -> None:
     async def test() -> None:
-        async with world(ceilings={"most_held": 2}) as w:
+        async with running_gateway(ceilings={"most_held": 2}) as w:
             client = await w.client()
             client.send(request("r1") + request("r2"))
             await until(lambda: len(w.node.held) == 2)
@@ -191,7 +201,7 @@
 
 def test_connections_are_bounded_idle_ones_give_way_and_the_surplus_is_refused() -> None:
     async def test() -> None:
-        async with world() as w:
+        async with running_gateway() as w:
             refuse_all(w)
             w.node.server.most, w.node.server.surplus = 2, 1
             first, second = await w.client(), await w.client()
@@ -220,7 +230,7 @@
     """
 
     async def test() -> None:
-        async with world() as w:
+        async with running_gateway() as w:
             w.node.server.most, w.node.server.surplus = 1, 0
             first = await w.client()
             first.send(request("r1"))
@@ -262,7 +272,7 @@
             return getattr(self.inner, name)
 
     async def test() -> None:
-        async with world() as w:
+        async with running_gateway() as w:
             exhausted = Exhausted(w.node.server.socket)
             w.node.server.socket = exhausted  # type: ignore[assignment]
             assert (await w.ask(request(target="/no"))).status == 404
@@ -273,11 +283,11 @@
 
 def test_idle_clients_and_requests_that_never_come_whole_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        async with world() as w:
+        async with running_gateway() as w:
             refuse_all(w)
             silent, slow, body, usual = [await w.client() for _ in range(4)]
             slow.send(request()[:-10])
-            body.send(request(cls="write", Content_Length="9") + b"x")
+            body.send(request(class_name="write", Content_Length="9") + b"x")
             assert (await usual.ask(request("r1"))).status == 503
             await until(lambda: sum(c.reading is not None for c in w.node.server.connections) == 2)
             clock.now += PARTIAL
@@ -298,7 +308,7 @@
             assert await usual.at_end()
             assert len(w.script.of(api.Request)) == 2
 
-    clock = StillClock()
+    clock = ManualClock()
     monkeypatch.setattr("coralvale.net.server.time", clock)
     for name in ("SWEEP", "LINGER"):
         monkeypatch.setattr(f"coralvale.net.server.{name}", 0.01)
@@ -307,7 +317,7 @@
 
 def test_idle_connections_are_closed_sooner_when_room_is_short(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        async with world() as w:
+        async with running_gateway() as w:
             refuse_all(w)
             w.node.server.most = 3
             first, second = await w.client(), await w.client()
@@ -324,7 +334,7 @@
     """Nobody gains by connecting a hundred times and saying nothing."""
 
     async def test() -> None:
-        async with world() as w:
+        async with running_gateway() as w:
             refuse_all(w)
             w.node.server.most, w.node.server.surplus = 4, 0
             silent = [await w.client() for _ in range(100)]
@@ -340,7 +350,7 @@
     """Else the same could come again at full speed; what follows it at once is not looked at."""
 
     async def test() -> None:
-        async with world() as w:
+        async with running_gateway() as w:
             refuse_all(w)
             bad = await w.client()
             assert (await bad.ask(request("bad", Plan="other") + request("r2"))).status == 400
@@ -352,9 +362,9 @@
 
 def test_what_comes_behind_a_bad_head_is_not_read_and_the_answer_arrives() -> None:
     async def test() -> None:
-        async with world() as w:
+        async with running_gateway() as w:
             bad = await w.client()
-            bad.send(request(cls="write", Content_Length="60000000"))
+            bad.send(request(class_name="write", Content_Length="60000000"))
             assert (await bad.receive()).status == 413
             (connection,) = w.node.server.connections
             assert connection.transport is not None and not connection.transport.is_reading()
@@ -369,7 +379,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
-        async with world() as w:
+        async with running_gateway() as w:
             for _ in range(5):
                 assert (await w.ask(b"nonsense\r\n\r\n")).status == 400
             await until(lambda: len(w.node.server.connections) == 2)
@@ -384,7 +394,7 @@
         return (await client.ask(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")).status
 
     async def test() -> None:
-        async with world() as w:
+        async with running_gateway() as w:
             client = await w.client()
             w.node.ready = False
             assert await up(client) == 503
@@ -404,7 +414,7 @@
     """Though it goes on sending: its unread answers would fill the memory."""
 
     async def test() -> None:
-        async with world() as w:
+        async with running_gateway() as w:
             client = await w.client()
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             client.send(500_000 * b"GET /up HTTP/1.1\r\n\r\n")
@@ -422,7 +432,7 @@
 
 def test_one_that_reads_late_gets_all_of_its_answers() -> None:
     async def test() -> None:
-        async with world() as w:
+        async with running_gateway() as w:
             client, count = await w.client(), 300_000
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             client.send(count * b"GET /up HTTP/1.1\r\n\r\n")
@@ -430,7 +440,7 @@
             client.writer.transport.resume_reading()  # type: ignore[attr-defined]
             seen, end = 0, b""
             while seen < count:
-                end = end[-8:] + await soon(client.reader.read(1 << 20))
+                end = end[-8:] + await with_timeout(client.reader.read(1 << 20))
                 seen += end.count(b"HTTP/1.1 ")  # nine bytes, of which eight are kept
 
     run(test())
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 import pytest
-from net_helpers import Peer, answer, hold_connects, run, soon, until
+from net_helpers import Peer, answer, hold_connects, run, until, with_timeout
 
 from coralvale.interface import Outcome
 from coralvale.net.clock import Clock
@@ -52,7 +52,7 @@
         return attempt
 
     async def outcome(self) -> Outcome:
-        return (await soon(self.ended.get()))[1]
+        return (await with_timeout(self.ended.get()))[1]
 
 
 @contextlib.asynccontextmanager
@@ -155,8 +155,8 @@
                 host.setblocking(False)
                 # Far more than the socket buffers hold, so that the end of it stays unwritten.
                 b.send(b"x" * (64 * 1024 * 1024), address=host.getsockname())
-                connection, _ = await soon(asyncio.get_running_loop().sock_accept(host))
-                assert await soon(asyncio.get_running_loop().sock_recv(connection, 100))
+                connection, _ = await with_timeout(asyncio.get_running_loop().sock_accept(host))
+                assert await with_timeout(asyncio.get_running_loop().sock_recv(connection, 100))
                 connection.close()
                 assert await b.outcome() is Outcome.CONNECT_FAILED
 
@@ -212,14 +212,14 @@
                 host.setblocking(False)
                 loop = asyncio.get_running_loop()
                 b.send(address=host.getsockname())
-                first, _ = await soon(loop.sock_accept(host))
-                await soon(loop.sock_recv(first, 1000))
-                await soon(loop.sock_sendall(first, answer()))
+                first, _ = await with_timeout(loop.sock_accept(host))
+                await with_timeout(loop.sock_recv(first, 1000))
+                await with_timeout(loop.sock_sendall(first, answer()))
                 assert await b.outcome() is Outcome.OK
                 first.close()
                 b.send(address=host.getsockname())  # at once: the loop has had no turn to read the end
-                second, _ = await soon(loop.sock_accept(host))
-                assert await soon(loop.sock_recv(second, 1000)) == PAYLOAD
+                second, _ = await with_timeout(loop.sock_accept(host))
+                assert await with_timeout(loop.sock_recv(second, 1000)) == PAYLOAD
                 second.close()
 
     run(test())
@@ -245,7 +245,7 @@
         async with bench() as b:
             b.send()
             (await b.host.next()).reply(answer(body=b"own") + answer(500, body=b"nobody's"))
-            _, outcome, own = await soon(b.ended.get())
+            _, outcome, own = await with_timeout(b.ended.get())
             assert outcome is Outcome.OK and own is not None and own.body == b"own"
             b.send()
             arrived = await b.host.next()
@@ -268,7 +268,7 @@
             arrived = await b.host.next()
             assert arrived.connection == 2
             arrived.reply(answer(body=b"own"))
-            _, outcome, own = await soon(b.ended.get())
+            _, outcome, own = await with_timeout(b.ended.get())
             assert outcome is Outcome.OK and own is not None and own.body == b"own"
             assert b.ended.empty()
 
@@ -280,7 +280,7 @@
         async with bench(answer()) as b:
             started, go = hold_connects(b.upstreams)
             late = b.send()
-            await soon(started.wait())
+            await with_timeout(started.wait())
             b.upstreams.give_up(late, Outcome.TIMEOUT)
             assert await b.outcome() is Outcome.NOT_SENT  # it never ran, whatever it was given up for
             go.set()
@@ -379,7 +379,7 @@
             waits = Attempt("s-1", b.host.address, lambda: PAYLOAD, lambda *end: b.ended.put_nowait(end))
             pool.waiting.append(waits)
             arrived.reply(answer(body=b"right"))
-            _, outcome, got = await soon(b.ended.get())
+            _, outcome, got = await with_timeout(b.ended.get())
             assert outcome is Outcome.OK and got is not None and got.body == b"right"
             assert not waits.connection  # not in the same turn
             arrived.reply(answer(body=b"wrong"))
@@ -409,7 +409,7 @@
                     Attempt("s-1", b.host.address, lambda: PAYLOAD, lambda *end: b.ended.put_nowait(end))
                 )
             first.reply(answer(body=b"first"))
-            await soon(b.ended.get())
+            await with_timeout(b.ended.get())
             if not waits:
                 b.send()
             for due, step in pauses:
@@ -425,7 +425,7 @@
             if not waits:
                 other = await b.host.next()
                 other.reply(answer(body=b"own"))
-                _, outcome, got = await soon(b.ended.get())
+                _, outcome, got = await with_timeout(b.ended.get())
                 assert outcome is Outcome.OK and got is not None and got.body == b"own"
 
     run(test())
