--- a/coralvale/net/counter.py
+++ b/coralvale/net/counter.py
@@ -1,4 +1,7 @@
-"""Calls to the shared counter: pipelined on a few kept connections, answered in order."""
+"""HTTP client of the shared counter.
+
+Calls are pipelined on a few persistent connections; the counter answers those on one connection in order.
+"""
 
 from __future__ import annotations
 
@@ -14,104 +17,128 @@
 from coralvale.interface import CounterReply
 from coralvale.net.config import Address
 
-LINES = 2  # connections; a name keeps to one, so that its answers come in the order of its calls
-IDLE = 4.0  # s after which an idle one is closed here, well before the counter does at up to 10 s
-LONGEST_LIFE = 60_000  # ms that a name may live
-MAX_BODY = 64  # bytes of a total
-MAX_ANSWER = 4096  # bytes without a whole answer: a head that does not end would fill the memory
-STUCK = 0.5  # s without the answer to the oldest call after which a connection is given up
+MAX_CONNECTIONS = 2  # all calls for one entry go over the same connection, so that their replies are in order
+IDLE_TIMEOUT_S = 4.0  # until an idle connection is closed; the counter closes it after up to 10 s
+MAX_LIFETIME_MS = 60_000  # of an entry on the counter
+MAX_BODY_BYTES = 64  # of a response; a total is shorter
+MAX_RESPONSE_BYTES = 4096  # received without a complete response: an endless head would fill the memory
+STALL_TIMEOUT_S = 0.5  # age of the oldest unanswered call at which its connection is closed
 
 
-NUMBER = re.compile(rb"\s*-?\d{1,15}(\.\d{0,15})?([eE][-+]?\d{1,2})?\s*")  # float() takes 1_0 and inf as well
+# A total as the counter writes it; stricter than float(), which also accepts 1_0, inf and nan.
+TOTAL_PATTERN = re.compile(rb"\s*-?\d{1,15}(\.\d{0,15})?([eE][-+]?\d{1,2})?\s*")
 
 
 @dataclass(slots=True, eq=False)
 class Call:
-    name: int
-    text: bytes
+    """One addition to an entry of the counter."""
+
+    name: int  # of the entry
+    request: bytes  # the HTTP request
     timer: asyncio.TimerHandle | None = None
-    written_at: float | None = None
-    done: bool = False
+    written_at: float | None = None  # loop time; None: not written yet
+    replied: bool = False  # whether `on_reply` was called for it
+
 
+class CounterClient:
+    """Adds to entries of the counter; calls `on_reply` exactly once for each `add`.
 
-class Counter:
-    """`on_reply` gets exactly one reply for each call, in time or as maybe added."""
+    A call without a valid response fails; its reply has `maybe_added` set unless it is certain that nothing
+    was added. `timeout` and `connect_timeout` are in seconds.
+    """
 
     def __init__(
         self,
         address: Address,
-        time_out: float,
+        timeout: float,
         connect_timeout: float,
         on_reply: Callable[[CounterReply], None],
     ) -> None:
-        self.address, self.time_out, self.connect_timeout = address, time_out, connect_timeout
+        self.address, self.timeout, self.connect_timeout = address, timeout, connect_timeout
         self.on_reply = on_reply
         self.loop = asyncio.get_running_loop()
-        self.lines: list[Line | None] = [None] * LINES
-        self.tasks: set[asyncio.Task[None]] = set()
+        self.connections: list[Connection | None] = [None] * MAX_CONNECTIONS
+        self.connect_tasks: set[asyncio.Task[None]] = set()
 
     def add(self, name: int, amount: float, lifetime: float) -> None:
-        keep = min(LONGEST_LIFE, max(1, round(lifetime * 1000)))
+        """Adds an amount to an entry, which the counter keeps for `lifetime` seconds."""
+        lifetime_ms = min(MAX_LIFETIME_MS, max(1, round(lifetime * 1000)))
         host, port = self.address
-        text = f"POST /tally/{name}?n={amount:.6f}&keep_ms={keep} HTTP/1.1\r\nHost: {host}:{port}\r\n"
-        call = Call(name, f"{text}Content-Length: 0\r\n\r\n".encode())
-        line = self.lines[name % LINES]
-        if line is None or line.closed:
-            line = self.lines[name % LINES] = Line(self)
-            task = self.loop.create_task(self._connect(line))
-            self.tasks.add(task)
-            task.add_done_callback(self.tasks.discard)
-        call.timer = self.loop.call_later(self.time_out, self._late, line, call)
-        line.add(call)
+        head = f"POST /tally/{name}?n={amount:.6f}&keep_ms={lifetime_ms} HTTP/1.1\r\nHost: {host}:{port}\r\n"
+        call = Call(name, f"{head}Content-Length: 0\r\n\r\n".encode())
+        connection = self.connections[name % MAX_CONNECTIONS]
+        if connection is None or connection.closed:
+            connection = self.connections[name % MAX_CONNECTIONS] = Connection(self)
+            task = self.loop.create_task(self._connect(connection))
+            self.connect_tasks.add(task)
+            task.add_done_callback(self.connect_tasks.discard)
+        call.timer = self.loop.call_later(self.timeout, self._on_timeout, connection, call)
+        connection.add(call)
 
     def close(self) -> None:
-        for task in self.tasks:
+        """Closes all connections at once; calls that are not answered yet fail."""
+        for task in self.connect_tasks:
             task.cancel()
-        for line in self.lines:
-            if line:
-                line.close()
-
-    def retire(self) -> None:
-        """Takes no more calls; those in hand end as ever, each with its one reply; then it closes."""
-        for line in self.lines:
-            if line:
-                line.last = True
-                line.rest()
-        self.loop.call_later(max(STUCK, self.time_out), self.close)
-
-    async def _connect(self, line: Line) -> None:
+        for connection in self.connections:
+            if connection:
+                connection.close()
+
+    def drain(self) -> None:
+        """Closes each connection as soon as its calls are answered, and all of them once every call has ended.
+
+        `add` must not be called any more.
+        """
+        for connection in self.connections:
+            if connection:
+                connection.draining = True
+                connection.check_idle()
+        self.loop.call_later(max(STALL_TIMEOUT_S, self.timeout), self.close)
+
+    async def _connect(self, connection: Connection) -> None:
         try:
             async with asyncio.timeout(self.connect_timeout):
-                await self.loop.create_connection(lambda: line, *self.address)
+                await self.loop.create_connection(lambda: connection, *self.address)
         except (OSError, TimeoutError):
-            line.close()
-            line.connection_lost(None)
+            connection.close()
+            connection.connection_lost(None)
 
-    def _late(self, line: Line, call: Call) -> None:
-        """No answer in time: it may have been added, unless the call was never written."""
+    def _on_timeout(self, connection: Connection, call: Call) -> None:
+        """Fails a call that got no response in time; closes its connection if that is stalled.
+
+        A call that was never written has certainly added nothing.
+        """
         self.reply(call, CounterReply(call.name, False, 0.0, maybe_added=call.written_at is not None))
-        first = line.calls[0] if line.calls else None
-        if first and first.written_at is not None and self.loop.time() - first.written_at > STUCK:
-            line.close()
+        oldest = connection.calls[0] if connection.calls else None
+        if (
+            oldest
+            and oldest.written_at is not None
+            and self.loop.time() - oldest.written_at > STALL_TIMEOUT_S
+        ):
+            connection.close()
 
     def reply(self, call: Call, reply: CounterReply) -> None:
-        if not call.done:
-            call.done = True
+        """Reports the result of a call, unless one was reported before."""
+        if not call.replied:
+            call.replied = True
             if call.timer:
                 call.timer.cancel()
             self.on_reply(reply)
 
 
-class Line(asyncio.Protocol):
-    """One connection. A call that has run out of time keeps its place, so that its late answer finds it."""
+class Connection(asyncio.Protocol):
+    """One connection to the counter.
+
+    A call that has timed out stays in `calls` until its response arrives: responses are matched to calls by
+    their order.
+    """
 
-    def __init__(self, owner: Counter) -> None:
-        self.owner, self.closed, self.body = owner, False, b""
-        self.calls: deque[Call] = deque()
+    def __init__(self, client: CounterClient) -> None:
+        self.client, self.closed, self.body = client, False, b""
+        self.calls: deque[Call] = deque()  # without a response, oldest first
         self.transport: asyncio.Transport | None = None
-        self.idle: asyncio.TimerHandle | None = None
-        self.size = 0
-        self.last = False  # closed as soon as its calls are answered
+        self.idle_timer: asyncio.TimerHandle | None = None
+        self.response_size = 0  # bytes received since the last complete response
+        self.draining = False  # to be closed once all its calls are answered
 
     def add(self, call: Call) -> None:
         self.calls.append(call)
@@ -120,61 +147,63 @@
 
     def _write(self, call: Call) -> None:
         assert self.transport is not None
-        if self.idle:
-            self.idle.cancel()
-            self.idle = None
-        call.written_at = self.owner.loop.time()
-        self.transport.write(call.text)
+        if self.idle_timer:
+            self.idle_timer.cancel()
+            self.idle_timer = None
+        call.written_at = self.client.loop.time()
+        self.transport.write(call.request)
 
     def connection_made(self, transport: Any) -> None:  # noqa: ANN401
         self.transport = transport
         self.parser = httptools.HttpResponseParser(self)
-        self.calls = deque(call for call in self.calls if not call.done)  # the others are not made any more
+        self.calls = deque(call for call in self.calls if not call.replied)  # drops those that timed out
         for call in self.calls:
             self._write(call)
-        self.rest()
+        self.check_idle()
 
-    def rest(self) -> None:
-        if self.last and not self.calls and self.transport:
+    def check_idle(self) -> None:
+        """If no call is outstanding, closes a draining connection and starts the idle timer of any other."""
+        if self.draining and not self.calls and self.transport:
             self.close()
-        elif not self.calls and not self.idle:
-            self.idle = self.owner.loop.call_later(IDLE, self.close)
+        elif not self.calls and not self.idle_timer:
+            self.idle_timer = self.client.loop.call_later(IDLE_TIMEOUT_S, self.close)
 
     def data_received(self, data: bytes) -> None:
-        if not self.calls:  # nothing was asked
+        if not self.calls:  # data without a call
             self.close()
             return
-        self.size += len(data)
-        if self.size > MAX_ANSWER:
+        self.response_size += len(data)
+        if self.response_size > MAX_RESPONSE_BYTES:
             self.close()
             return
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
             self.close()
-        self.rest()
+        self.check_idle()
 
     def on_body(self, body: bytes) -> None:
         self.body += body
-        if len(self.body) > MAX_BODY:
-            raise ValueError("a total without end")
+        if len(self.body) > MAX_BODY_BYTES:
+            raise ValueError("response body too long")
 
     def on_message_begin(self) -> None:
-        if self.closed or not self.calls:  # behind a spoilt answer, or more than belongs to the last call
-            raise ValueError("an answer that nobody asked for")
+        if self.closed or not self.calls:  # closed by an earlier response in the same data, or one too many
+            raise ValueError("response without a call")
 
     def on_message_complete(self) -> None:
-        self.size = 0
+        self.response_size = 0
         status, body, self.body = self.parser.get_status_code(), self.body, b""
         if status < 200:
             return
         call = self.calls.popleft()
-        if status == 200 and NUMBER.fullmatch(body):
-            self.owner.reply(call, CounterReply(call.name, True, float(body)))
-        else:  # 503, 400 and 404 have added nothing; anything else may have
-            plain = status in (503, 400, 404)
-            self.owner.reply(call, CounterReply(call.name, False, 0.0, maybe_added=not plain))
-            if not plain:  # an answer without a number: nothing on this connection can be relied on
+        if status == 200 and TOTAL_PATTERN.fullmatch(body):
+            self.client.reply(call, CounterReply(call.name, True, float(body)))
+        else:
+            # With one of these statuses the counter has added nothing; with any other it may have.
+            rejected = status in (503, 400, 404)
+            self.client.reply(call, CounterReply(call.name, False, 0.0, maybe_added=not rejected))
+            if not rejected:  # not a total: no later response on this connection can be trusted
                 self.close()
         if not self.parser.should_keep_alive():
             self.close()
@@ -186,9 +215,9 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.closed = True
-        if self.idle:
-            self.idle.cancel()
+        if self.idle_timer:
+            self.idle_timer.cancel()
         while self.calls:
             call = self.calls.popleft()
-            maybe = call.written_at is not None
-            self.owner.reply(call, CounterReply(call.name, False, 0.0, maybe_added=maybe))
+            maybe_added = call.written_at is not None
+            self.client.reply(call, CounterReply(call.name, False, 0.0, maybe_added=maybe_added))
--- a/coralvale/net/node.py
+++ b/coralvale/net/node.py
@@ -20,7 +20,7 @@
 from coralvale.interface import Outcome
 from coralvale.net.clock import Clock
 from coralvale.net.config import Address, Config, HostInstance
-from coralvale.net.counter import Counter
+from coralvale.net.counter import CounterClient
 from coralvale.net.discovery import Discovery, Endpoint
 from coralvale.net.server import NOT_PASSED_ON, Arrival, Exchange, Server
 from coralvale.net.upstream import Answer, Attempt, Upstreams
@@ -146,13 +146,13 @@
             return
         log.info("the counter is now at %s", config.counter)
         if self.counter:
-            self.counter.retire()
+            self.counter.drain()
         self.counter = self._make_counter(config.counter)
 
-    def _make_counter(self, address: Address | None) -> Counter | None:
+    def _make_counter(self, address: Address | None) -> CounterClient | None:
         if address is None:
             return None
-        return Counter(address, self.settings.counter_timeout, self.config.connect_timeout, self.feed)
+        return CounterClient(address, self.settings.counter_timeout, self.config.connect_timeout, self.feed)
 
     def close(self) -> None:
         """Lets go of all sockets, at once."""
--- a/tests/net_helpers.py
+++ b/tests/net_helpers.py
@@ -165,7 +165,7 @@
         self.send(data)
         return await self.receive()
 
-    async def at_end(self) -> bool:
+    async def closed_by_gateway(self) -> bool:
         """Whether the gateway has ended the connection, with nothing more sent."""
         try:
             return await with_timeout(self.reader.read()) == b""
@@ -215,17 +215,17 @@
 
     def __init__(self) -> None:
         self.events: list[api.Event] = []
-        self.rules: dict[type, Callable[[Any], list[api.Action]]] = {}
+        self.responses: dict[type, Callable[[Any], list[api.Action]]] = {}
 
-    def on(self, kind: type, rule: Callable[[Any], list[api.Action]]) -> None:
-        self.rules[kind] = rule
+    def on(self, event_type: type, respond: Callable[[Any], list[api.Action]]) -> None:
+        self.responses[event_type] = respond
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         self.events.append(event)
-        return self.rules.get(type(event), lambda _: [])(event)
+        return self.responses.get(type(event), lambda _: [])(event)
 
-    def of(self, kind: type) -> list[Any]:
-        return [event for event in self.events if isinstance(event, kind)]
+    def received(self, event_type: type) -> list[Any]:
+        return [event for event in self.events if isinstance(event, event_type)]
 
 
 @dataclass
@@ -244,10 +244,10 @@
     async def ask(self, data: bytes) -> Message:
         return await (await self.client()).ask(data)
 
-    async def done(self, count: int = 1) -> api.AttemptDone:
+    async def attempt_done(self, count: int = 1) -> api.AttemptDone:
         """The newest of `count` outcomes that the module has been told."""
-        await until(lambda: len(self.script.of(api.AttemptDone)) >= count)
-        return self.script.of(api.AttemptDone)[count - 1]
+        await until(lambda: len(self.script.received(api.AttemptDone)) >= count)
+        return self.script.received(api.AttemptDone)[count - 1]
 
 
 @contextlib.asynccontextmanager
--- a/tests/test_counter_calls.py
+++ b/tests/test_counter_calls.py
@@ -11,13 +11,15 @@
 from net_helpers import Arrived, Peer, answer, run, until, with_timeout
 
 from coralvale.interface import CounterReply
-from coralvale.net.counter import Counter
+from coralvale.net.counter import CounterClient
 
 
 @contextlib.asynccontextmanager
-async def counter(time_out: float = 20.0) -> AsyncIterator[tuple[Counter, Peer, asyncio.Queue[CounterReply]]]:
+async def counter(
+    time_out: float = 20.0,
+) -> AsyncIterator[tuple[CounterClient, Peer, asyncio.Queue[CounterReply]]]:
     peer, replies = await Peer().start(), asyncio.Queue[CounterReply]()
-    yield Counter(peer.address, time_out, 5.0, replies.put_nowait), peer, replies
+    yield CounterClient(peer.address, time_out, 5.0, replies.put_nowait), peer, replies
     peer.stop()
 
 
@@ -96,7 +98,7 @@
             calls.add(8, 1.0, 4.0)
             late = await peer.next()
             assert await with_timeout(replies.get()) == CounterReply(8, False, 0.0, maybe_added=True)
-            calls.time_out = 20.0
+            calls.timeout = 20.0
             calls.add(8, 1.0, 4.0)
             own = await peer.next()
             assert own.connection == late.connection
@@ -114,13 +116,13 @@
             calls.add(8, 1.0, 4.0)
             assert (await with_timeout(replies.get())).maybe_added
             await until(lambda: peer.closed == 1)
-            calls.time_out = 20.0
+            calls.timeout = 20.0
             calls.add(8, 1.0, 4.0)
             await peer.next()
             (await peer.next()).reply(total("1"))
             assert (await with_timeout(replies.get())).ok and peer.connections == 2
 
-    monkeypatch.setattr("coralvale.net.counter.STUCK", 0.01)
+    monkeypatch.setattr("coralvale.net.counter.STALL_TIMEOUT_S", 0.01)
     run(test())
 
 
@@ -132,7 +134,7 @@
             assert (await with_timeout(replies.get())).ok
             await until(lambda: peer.closed == 1)
 
-    monkeypatch.setattr("coralvale.net.counter.IDLE", 0.01)
+    monkeypatch.setattr("coralvale.net.counter.IDLE_TIMEOUT_S", 0.01)
     run(test())
 
 
@@ -141,7 +143,7 @@
         async with counter() as (calls, peer, replies):
             calls.add(8, 1.0, 4.0)
             arrived = await peer.next()
-            calls.retire()
+            calls.drain()
             arrived.reply(total("3"))
             assert await with_timeout(replies.get()) == CounterReply(8, True, 3.0)
             await until(lambda: peer.closed == 1)
@@ -155,7 +157,7 @@
         async with counter() as (calls, peer, replies):
             calls.add(8, 1.0, 4.0)
             await peer.next()
-            calls.retire()
+            calls.drain()
             peer.stop()
             assert await with_timeout(replies.get()) == CounterReply(8, False, 0.0, maybe_added=True)
             assert replies.empty()
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -71,7 +71,7 @@
             message = await client.receive()
             assert message.status == 200 and message.body == reply
             assert message.headers[b"content-type"] == b"a/b" and b"usage-percent" not in message.headers
-            done = await w.done()
+            done = await w.attempt_done()
             assert (done.attempt, done.outcome, done.request_done, done.usage) == (0, Outcome.OK, True, 0.85)
             assert not w.node.held
         host.stop()
@@ -89,9 +89,9 @@
             (await host.next()).reply(answer(503, X_Not_Processed="1"))
             (await host.next()).reset()
             assert (await client.receive()).status == 502
-            done = await w.done(3)
-            assert [d.attempt for d in w.script.of(api.AttemptDone)] == [0, 1, 2]
-            outcomes = [d.outcome for d in w.script.of(api.AttemptDone)]
+            done = await w.attempt_done(3)
+            assert [d.attempt for d in w.script.received(api.AttemptDone)] == [0, 1, 2]
+            outcomes = [d.outcome for d in w.script.received(api.AttemptDone)]
             assert outcomes == [Outcome.FULL, Outcome.RESET, Outcome.NOT_SENT]
             assert not done.request_done and not w.node.held
         host.stop()
@@ -105,10 +105,10 @@
         async with running_gateway(entry("s-1", host.port), entry("s-2", host.port)) as w:
             send_all(w, "s-1", "s-2", until_in=0.05)
             assert (await w.ask(request())).status == 504
-            assert [d.outcome for d in w.script.of(api.AttemptDone)] == [Outcome.TIMEOUT] * 2
+            assert [d.outcome for d in w.script.received(api.AttemptDone)] == [Outcome.TIMEOUT] * 2
             send_all(w, "s-1")
             assert (await w.ask(request("r2", X_Timeout="0.1"))).status == 504
-            assert (await w.done(3)).outcome is Outcome.TIMEOUT
+            assert (await w.attempt_done(3)).outcome is Outcome.TIMEOUT
             await until(lambda: not w.node.held)
         host.stop()
 
@@ -119,7 +119,9 @@
     async def test() -> None:
         async with running_gateway() as w:
             message = await w.ask(request(X_Timeout="0.1"))
-            assert message.status == 503 and w.script.of(api.RequestAbandoned) == [api.RequestAbandoned("r1")]
+            assert message.status == 503 and w.script.received(api.RequestAbandoned) == [
+                api.RequestAbandoned("r1")
+            ]
             w.script.on(api.Request, lambda e: [api.Refuse(e.id, 0.1), api.Fail(e.id), api.Refuse(e.id)])
             client = await w.client()
             assert (await client.ask(request("r2"))).headers[b"retry-after"] == b"0.100"
@@ -137,10 +139,10 @@
             client.send(request())
             arrived = await host.next()
             client.close()
-            await until(lambda: w.script.of(api.RequestAbandoned))
-            assert w.node.held and not w.script.of(api.AttemptDone)
+            await until(lambda: w.script.received(api.RequestAbandoned))
+            assert w.node.held and not w.script.received(api.AttemptDone)
             arrived.reply(answer())
-            done = await w.done()
+            done = await w.attempt_done()
             assert done.outcome is Outcome.OK and done.request_done and not w.node.held
         host.stop()
 
@@ -158,7 +160,7 @@
             for _ in range(2):
                 w.node.actions[api.Cancel](api.Cancel("r1", 0))
             assert (await client.receive()).status == 502
-            assert [d.outcome for d in w.script.of(api.AttemptDone)] == [Outcome.CANCELLED]
+            assert [d.outcome for d in w.script.received(api.AttemptDone)] == [Outcome.CANCELLED]
             await until(lambda: host.closed == 1)
         host.stop()
 
@@ -177,10 +179,10 @@
             client = await w.client()
             client.send(request())
             await with_timeout(started.wait())
-            seen = len(w.script.of(api.HostList))
+            seen = len(w.script.received(api.HostList))
             if change == "client":
                 client.close()
-                await until(lambda: w.script.of(api.RequestAbandoned))
+                await until(lambda: w.script.received(api.RequestAbandoned))
             elif change != "none":
                 more = {
                     "left": {"status": "left"},
@@ -189,9 +191,9 @@
                     "moved": {"address": "127.0.0.1:1"},
                 }[change]
                 watch.reply(chunk(line(42, {**known, **more})))
-                await until(lambda: len(w.script.of(api.HostList)) > seen)
+                await until(lambda: len(w.script.received(api.HostList)) > seen)
             go.set()
-            done = await w.done()
+            done = await w.attempt_done()
             if change == "none":
                 assert done.outcome is Outcome.OK and host.arrived.qsize() == 1
             else:
@@ -218,8 +220,8 @@
                     arrived = await first.next()
                     descriptor = arrived.writer.get_extra_info("socket").fileno()
                     os.write(descriptor, answer(503, X_Not_Processed="1"))
-            await until(lambda: w.script.of(api.RequestAbandoned) and not w.node.held)
-            assert w.script.of(api.AttemptDone)[-1].outcome is Outcome.NOT_SENT
+            await until(lambda: w.script.received(api.RequestAbandoned) and not w.node.held)
+            assert w.script.received(api.AttemptDone)[-1].outcome is Outcome.NOT_SENT
             assert host.arrived.qsize() == 1  # the one before
         host.stop()
         first.stop()
@@ -244,10 +246,10 @@
                 client.sendall(request("unread"))
             if waits == "for a connection":
                 go.set()
-                await w.done(PIPELINED)
-                assert {e.outcome for e in w.script.of(api.AttemptDone)} == {Outcome.NOT_SENT}
+                await w.attempt_done(PIPELINED)
+                assert {e.outcome for e in w.script.received(api.AttemptDone)} == {Outcome.NOT_SENT}
                 assert host.arrived.empty()
-            await until(lambda: len(w.script.of(api.RequestAbandoned)) == PIPELINED and not w.node.held)
+            await until(lambda: len(w.script.received(api.RequestAbandoned)) == PIPELINED and not w.node.held)
         host.stop()
 
     run(test())
@@ -279,7 +281,7 @@
             assert not w.node.held
             w.script.on(api.TimerFired, fail)
             w.node.actions[api.SetTimer](api.SetTimer(0, 0.01))
-            await until(lambda: len(w.script.of(api.TimerFired)) >= 3)
+            await until(lambda: len(w.script.received(api.TimerFired)) >= 3)
         host.stop()
 
     run(test())
@@ -298,7 +300,7 @@
             try:
                 for i in range(1, 20):
                     assert (await client.ask(request(f"r{i}"))).status == 200
-                await w.done(20)
+                await w.attempt_done(20)
                 left = [o for o in gc.get_objects() if isinstance(o, PendingRequest | Attempt | Exchange)]
             finally:
                 gc.enable()
@@ -317,12 +319,12 @@
             )
             (await w.client()).send(request())
             assert (await host.next()).message.first == b"GET /alive HTTP/1.1"
-            await until(lambda: len(w.script.of(api.ProbeDone)) == 2)
-            assert {p.outcome for p in w.script.of(api.ProbeDone)} == {Outcome.OK, Outcome.NOT_SENT}
+            await until(lambda: len(w.script.received(api.ProbeDone)) == 2)
+            assert {p.outcome for p in w.script.received(api.ProbeDone)} == {Outcome.OK, Outcome.NOT_SENT}
             call = await w.counter.next()
             assert call.message.first == b"POST /tally/5?n=2.000000&keep_ms=1000 HTTP/1.1"
             call.reply(answer(body=b"7"))
-            await until(lambda: w.script.of(api.CounterReply) == [api.CounterReply(5, True, 7.0)])
+            await until(lambda: w.script.received(api.CounterReply) == [api.CounterReply(5, True, 7.0)])
         host.stop()
 
     run(test())
@@ -363,14 +365,14 @@
             late.send(request("r2"))
             second = await host.next()
             kill = w.node.clock.now() + 3 + 0.7  # no sooner, by PROTOCOL
-            assert w.script.of(api.Request)[1].expires_at < kill - 0.25
-            assert await idle.at_end()
+            assert w.script.received(api.Request)[1].expires_at < kill - 0.25
+            assert await idle.closed_by_gateway()
             assert not w.node.stopped.done()
             for client, arrived in ((busy, first), (late, second)):
                 arrived.reply(answer(body=b"done"))
                 message = await client.receive()
                 assert message.body == b"done" and message.headers[b"connection"] == b"close"
-                assert await client.at_end()
+                assert await client.closed_by_gateway()
             await with_timeout(w.node.stopped)
         host.stop()
 
@@ -400,7 +402,7 @@
             (await host.next()).reply(answer(body=b"r3"))
             message = await client.receive()
             assert message.body == b"r3" and message.headers[b"connection"] == b"close"
-            assert await client.at_end()
+            assert await client.closed_by_gateway()
             await with_timeout(w.node.stopped)
         host.stop()
 
@@ -420,10 +422,10 @@
             first, third = sorted(two, key=lambda arrived: arrived.message.headers[b"x-request-id"])
             first.reply(answer(body=b"done"))
             assert (await client.receive()).body == b"done" and (await client.receive()).status == 400
-            assert await client.at_end()
-            assert [e.request for e in w.script.of(api.RequestAbandoned)] == ["r3"]
+            assert await client.closed_by_gateway()
+            assert [e.request for e in w.script.received(api.RequestAbandoned)] == ["r3"]
             third.reply(answer(body=b"late"))
-            done = await w.done(2)
+            done = await w.attempt_done(2)
             assert done.request == "r3" and not w.node.held
         host.stop()
 
@@ -476,7 +478,7 @@
             for due, step in stop_by_hand(w):
                 if due <= 0.5:
                     step()
-            assert await idle.at_end()
+            assert await idle.closed_by_gateway()
             assert (await client.ask(request())).body == b"done"
         host.stop()
 
@@ -500,7 +502,7 @@
             await hung.next()
             steps = stop_by_hand(w)
             next(step for _, step in steps if step == w.node._end)()
-            assert [e.outcome for e in w.script.of(api.AttemptDone)][1:] == [
+            assert [e.outcome for e in w.script.received(api.AttemptDone)][1:] == [
                 Outcome.TIMEOUT,
                 Outcome.NOT_SENT,
             ]
@@ -535,7 +537,7 @@
             arrived.reply(answer(body=b"done"))
             message = await client.receive()
             assert message.body == b"done" and message.headers[b"connection"] == b"close"
-            assert await client.at_end()
+            assert await client.closed_by_gateway()
             await with_timeout(w.node.stopped)
         host.stop()
 
@@ -555,16 +557,16 @@
             waiting = [await host.next() for _ in range(PIPELINED)]
             for arrived in waiting[1:]:
                 arrived.reply(answer(body=body))
-            await until(lambda: len(w.script.of(api.AttemptDone)) == PIPELINED - 1)
+            await until(lambda: len(w.script.received(api.AttemptDone)) == PIPELINED - 1)
             w.node.stop()
             waiting[0].reply(answer(body=body))
-            await w.done(PIPELINED)
+            await w.attempt_done(PIPELINED)
             assert not w.node.stopped.done()
             client.writer.transport.resume_reading()  # type: ignore[attr-defined]
             answers = [await client.receive() for _ in range(PIPELINED)]
             assert all(message.body == body for message in answers)
             assert b"connection" not in answers[0].headers and answers[-1].headers[b"connection"] == b"close"
-            assert await client.at_end()
+            assert await client.closed_by_gateway()
             await with_timeout(w.node.stopped)
         host.stop()
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -177,7 +177,7 @@
         threads = [p.read_text() for p in Path(f"/proc/{process.pid}/task").glob("*/comm")]
         assert not [name for name in threads if name.startswith("iou-")]  # kernel threads that poll
         process.send_signal(signal.SIGTERM)
-        assert await client.at_end()
+        assert await client.closed_by_gateway()
         await with_timeout(process.communicate())
         assert process.returncode == 0
         host.stop()
@@ -517,7 +517,7 @@
         process = await start(path)
         client = await up(port)
         process.send_signal(signal.SIGTERM)
-        assert await client.at_end()
+        assert await client.closed_by_gateway()
         while process.returncode is None:
             for number in (signal.SIGHUP, signal.SIGTERM):
                 process.send_signal(number)
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -35,7 +35,7 @@
             before = w.node.clock.now()
             message = await w.ask(request("r7", "write", body=b"x", X_Timeout="0.480"))
             assert message.status == 503 and message.headers[b"retry-after"] == b"0.250"
-            (event,) = w.script.of(api.Request)
+            (event,) = w.script.received(api.Request)
             assert (event.id, event.class_index, event.plan_index, event.customer) == ("r7", 1, 0, 0xB4D65521)
             assert (event.entry_gateways, event.units) == (2, 1.0)
             assert before < event.expires_at < w.node.clock.now() + 0.480
@@ -94,7 +94,7 @@
     async def test() -> None:
         async with running_gateway(entry("s-1", 1)) as w:
             assert (await w.ask(data)).status == status
-            assert not w.script.of(api.Request)
+            assert not w.script.received(api.Request)
 
     run(test())
 
@@ -111,7 +111,7 @@
             assert (await client.receive()).status == 503
             chunked = request("r2", "write", Transfer_Encoding="chunked") + b"2\r\nab\r\n1\r\nc\r\n0\r\n\r\n"
             assert (await client.ask(chunked)).status == 503
-            assert len(w.script.of(api.Request)) == 2 and len(w.node.server.connections) == 1
+            assert len(w.script.received(api.Request)) == 2 and len(w.node.server.connections) == 1
 
     run(test())
 
@@ -150,7 +150,7 @@
             client = await w.client()
             message = await client.ask(request(Connection="close"))
             assert message.status == 503 and message.headers[b"connection"] == b"close"
-            assert await client.at_end()
+            assert await client.closed_by_gateway()
 
     run(test())
 
@@ -160,16 +160,16 @@
         async with running_gateway() as w:
             client = await w.client()
             client.send(request("r1"))
-            await until(lambda: w.script.of(api.Request))
+            await until(lambda: w.script.received(api.Request))
             client.close()
-            await until(lambda: w.script.of(api.RequestAbandoned))
-            assert w.script.of(api.RequestAbandoned) == [api.RequestAbandoned("r1")]
+            await until(lambda: w.script.received(api.RequestAbandoned))
+            assert w.script.received(api.RequestAbandoned) == [api.RequestAbandoned("r1")]
             assert not w.node.held
             half = await w.client()
             half.send(request("r2")[:-10])
             half.close()
             await until(lambda: not w.node.server.connections)
-            assert len(w.script.of(api.Request)) == len(w.script.of(api.RequestAbandoned)) == 1
+            assert len(w.script.received(api.Request)) == len(w.script.received(api.RequestAbandoned)) == 1
 
     run(test())
 
@@ -179,9 +179,9 @@
         async with running_gateway() as w:
             client = await w.client()
             client.send(request("r1"))
-            await until(lambda: w.script.of(api.Request))
+            await until(lambda: w.script.received(api.Request))
             assert (await w.ask(request("r1"))).status == 400
-            assert len(w.script.of(api.Request)) == 1
+            assert len(w.script.received(api.Request)) == 1
 
     run(test())
 
@@ -194,7 +194,7 @@
             await until(lambda: len(w.node.held) == 2)
             message = await w.ask(request("r3"))
             assert message.status == 503 and message.headers[b"retry-after"] == b"0.500"
-            assert len(w.script.of(api.Request)) == 2
+            assert len(w.script.received(api.Request)) == 2
 
     run(test())
 
@@ -209,7 +209,7 @@
             await second.ask(request("r2"))
             third = await w.client()
             assert (await third.ask(request("r3"))).status == 503
-            assert await first.at_end()  # it had stood idle the longest
+            assert await first.closed_by_gateway()  # it had stood idle the longest
             w.script.on(api.Request, lambda e: [])
             second.send(request("r4"))
             third.send(request("r5"))
@@ -217,7 +217,7 @@
             surplus = await w.client()
             message = await surplus.ask(request("r6"))
             assert message.status == 503 and message.headers[b"connection"] == b"close"
-            assert await surplus.at_end() and len(w.node.held) == 2
+            assert await surplus.closed_by_gateway() and len(w.node.held) == 2
 
     run(test())
 
@@ -241,7 +241,7 @@
             await until(lambda: w.node.clock.now() > sent_at + 0.2)
             first.close()
             await until(lambda: "r2" in w.node.held)
-            (_, event) = w.script.of(api.Request)
+            (_, event) = w.script.received(api.Request)
             assert event.expires_at <= sent_at + 30.0
             assert event.expires_at > sent_at + 29.0
             third = await w.client()
@@ -250,7 +250,7 @@
             third.send(request("r3"))
             sent_at = w.node.clock.now()
             await until(lambda: "r3" in w.node.held)
-            assert w.script.of(api.Request)[-1].expires_at > sent_at + 29.0
+            assert w.script.received(api.Request)[-1].expires_at > sent_at + 29.0
 
     run(test())
 
@@ -297,16 +297,16 @@
             clock.now += MOMENT
             for client in (slow, body):  # they are told why, as nothing was taken of them
                 assert (await client.receive()).status == 408
-                assert await client.at_end()
-            assert await silent.at_end()
+                assert await client.closed_by_gateway()
+            assert await silent.closed_by_gateway()
             assert (await usual.ask(request("r2"))).status == 503  # one that asks is not hurried
             await until(lambda: len(w.node.server.connections) == 1)
             clock.now += IDLE
             w.node.server._sweep()
             assert [c.ended for c in w.node.server.connections] == [False]
             clock.now += MOMENT
-            assert await usual.at_end()
-            assert len(w.script.of(api.Request)) == 2
+            assert await usual.closed_by_gateway()
+            assert len(w.script.received(api.Request)) == 2
 
     clock = ManualClock()
     monkeypatch.setattr("coralvale.net.server.time", clock)
@@ -323,7 +323,7 @@
             first, second = await w.client(), await w.client()
             await first.ask(request("r1"))
             await second.ask(request("r2"))
-            assert await first.at_end()
+            assert await first.closed_by_gateway()
 
     monkeypatch.setattr("coralvale.net.server.SHORT_IDLE", 0.01)
     monkeypatch.setattr("coralvale.net.server.SWEEP", 0.01)
@@ -340,7 +340,7 @@
             silent = [await w.client() for _ in range(100)]
             assert (await w.ask(request())).headers[b"retry-after"] == b"0.250"
             assert len(w.node.server.connections) <= 4
-            assert await silent[0].at_end()
+            assert await silent[0].closed_by_gateway()
 
     monkeypatch.setattr("coralvale.net.server.SETTLING", 0.0)
     run(test())
@@ -354,8 +354,8 @@
             refuse_all(w)
             bad = await w.client()
             assert (await bad.ask(request("bad", Plan="other") + request("r2"))).status == 400
-            assert await bad.at_end()
-            assert not w.script.of(api.Request)
+            assert await bad.closed_by_gateway()
+            assert not w.script.received(api.Request)
 
     run(test())
 
@@ -369,7 +369,7 @@
             (connection,) = w.node.server.connections
             assert connection.transport is not None and not connection.transport.is_reading()
             bad.send(b"x" * 1_000_000)
-            assert await bad.at_end()
+            assert await bad.closed_by_gateway()
             await until(lambda: not w.node.server.connections)  # it does not stay for good
 
     run(test())
