--- a/coralvale/__init__.py
+++ b/coralvale/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions of an API gateway that keeps every customer of a shared back end to its plan."""
+"""An API gateway that holds each customer of a shared back end to the quota of its plan."""
 
 from coralvale.logic import Gateway
 
--- a/coralvale/adapter.py
+++ b/coralvale/adapter.py
@@ -1,4 +1,9 @@
-"""The simulator's wire: text lines to events, actions to text lines; one `Gateway` for each instance."""
+"""Text protocol of the simulator: reads lines as events, writes actions as lines; runs several gateways.
+
+A line is a keyword and `name=value` fields, separated by tabs. A batch of lines starts with ROUND, which
+gives the time, and ends with FLUSH. ABOUT names the gateway that the lines after it are for; MANIFEST and the
+M lines after it hold a host list, to which ROSTER_CHANGE lines refer.
+"""
 
 from __future__ import annotations
 
@@ -11,11 +16,11 @@
 from coralvale import interface as api
 from coralvale.logic import Gateway
 
-Fields = dict[str, str]
+Fields = dict[str, str]  # by name
 
 
 class MalformedLine(ValueError):
-    """A line that cannot be read; the message names it."""
+    """A line is malformed or out of place; the message quotes it."""
 
 
 OUTCOMES = {
@@ -34,17 +39,17 @@
     "C": api.ListKind.CACHED,
     "X": api.ListKind.FAILED,
 }
-STATES = {
+HOST_STATES = {
     "healthy": api.HostState.HEALTHY,
     "cordoned": api.HostState.DRAINING,
     "deregistered": api.HostState.GONE,
 }
-REPEATS = {
+IDEMPOTENCY_KINDS = {
     "free": api.Idempotency.SAFE,
     "guarded": api.Idempotency.KEYED,
     "single_shot": api.Idempotency.UNSAFE,
 }
-REPORTS = {
+LOAD_REPORT_VIA = {
     "inline": api.LoadReportVia.ANSWERS,
     "on_probe": api.LoadReportVia.PROBE,
     "off": api.LoadReportVia.NONE,
@@ -56,76 +61,77 @@
     for part in parts:
         name, equals, value = part.partition("=")
         if not equals:
-            raise ValueError(f"part without '=': {part!r}")
+            raise ValueError(f"field without '=': {part!r}")
         fields[name] = value
     return fields
 
 
-def read_value(pairs: Fields, path: str, convert: Callable[[str], Any], default: Any = None) -> Any:
-    """One setting; an error names it if it cannot be used, or is missing and has no default."""
-    if path not in pairs:
+def read_value(fields: Fields, key: str, convert: Callable[[str], Any], default: Any = None) -> Any:
+    """One setting, converted; SettingsError if that fails, or if it is missing and has no default."""
+    if key not in fields:
         if default is None:
-            raise api.SettingsError(f"{path}: missing")
+            raise api.SettingsError(f"{key}: missing")
         return default
     try:
-        return convert(pairs[path])
+        return convert(fields[key])
     except (ValueError, KeyError, OverflowError):
-        raise api.SettingsError(f"{path}: cannot use {pairs[path]!r}") from None
+        raise api.SettingsError(f"{key}: cannot use {fields[key]!r}") from None
 
 
-def flag(text: str) -> bool:
+def parse_bool(text: str) -> bool:
     return {"true": True, "false": False, "1": True, "0": False}[text]
 
 
-def words(text: str) -> tuple[str, ...]:
-    return tuple(word for word in text.split(",") if word)
+def parse_list(text: str) -> tuple[str, ...]:
+    return tuple(item for item in text.split(",") if item)
 
 
-def whole(text: str) -> int:
+def parse_int(text: str) -> int:
+    """Also accepts a number such as 3.0 or 1e3; drops any fraction."""
     return int(float(text))
 
 
-def read_settings(pairs: Fields) -> api.Settings:
-    """The settings as the module knows them; a bad one is named, unknown ones are skipped."""
+def read_settings(fields: Fields) -> api.Settings:
+    """The settings of a gateway; ignores unknown fields."""
 
-    get = functools.partial(read_value, pairs)
+    get = functools.partial(read_value, fields)
     classes = []
-    for i in range(get("classes.count", whole)):
-        at = f"classes.{i}."
+    for i in range(get("classes.count", parse_int)):
+        prefix = f"classes.{i}."
         classes.append(
             api.RequestClass(
-                name=get(at + "name", str, f"class {i}"),
-                latency_target=get(at + "aim_s", float),
-                timeout=get(at + "give_up_s", float),
-                worth=get(at + "worth", float),
-                idempotency=get(at + "repeat", REPEATS.__getitem__),
-                dedup_scope=get(at + "group", api.DedupScope, api.DedupScope.ALL),
-                key_ttl=get(at + "key_ttl_s", float, 0.0),
-                streamed=get(at + "streaming", flag, False),
-                late_worth=get(at + "late_value", float, 0.0),
+                name=get(prefix + "name", str, f"class {i}"),
+                latency_target=get(prefix + "aim_s", float),
+                timeout=get(prefix + "give_up_s", float),
+                worth=get(prefix + "worth", float),
+                idempotency=get(prefix + "repeat", IDEMPOTENCY_KINDS.__getitem__),
+                dedup_scope=get(prefix + "group", api.DedupScope, api.DedupScope.ALL),
+                key_ttl=get(prefix + "key_ttl_s", float, 0.0),
+                streamed=get(prefix + "streaming", parse_bool, False),
+                late_worth=get(prefix + "late_value", float, 0.0),
             )
         )
     plans = []
-    for i in range(get("packages.count", whole)):
-        at = f"packages.{i}."
+    for i in range(get("packages.count", parse_int)):
+        prefix = f"packages.{i}."
         plans.append(
             api.Plan(
-                name=get(at + "name", str, f"plan {i}"),
-                rate=get(at + "per_second", float),
-                burst=get(at + "most_at_once", float),
-                open_limit=get(at + "concurrency", float, 0.0),
-                price=get(at + "value_factor", float, 1.0),
-                excess_worth=get(at + "excess_worth", float, 0.0),
-                excess_cost=get(at + "excess_cost", float, 0.0),
-                ceiling_rate=get(at + "never_over_rate", float, 0.0),
-                ceiling_burst=get(at + "hard_burst", float, 0.0),
-                ceiling_slack=get(at + "tolerance", float, 0.0),
+                name=get(prefix + "name", str, f"plan {i}"),
+                rate=get(prefix + "per_second", float),
+                burst=get(prefix + "most_at_once", float),
+                open_limit=get(prefix + "concurrency", float, 0.0),
+                price=get(prefix + "value_factor", float, 1.0),
+                excess_worth=get(prefix + "excess_worth", float, 0.0),
+                excess_cost=get(prefix + "excess_cost", float, 0.0),
+                ceiling_rate=get(prefix + "never_over_rate", float, 0.0),
+                ceiling_burst=get(prefix + "hard_burst", float, 0.0),
+                ceiling_slack=get(prefix + "tolerance", float, 0.0),
             )
         )
     return api.Settings(
-        gateways=get("n_instances", whole),
-        index=get("me", whole, 0),
-        zone=get("locality", whole, 0),
+        gateways=get("n_instances", parse_int),
+        index=get("me", parse_int, 0),
+        zone=get("locality", parse_int, 0),
         classes=tuple(classes),
         plans=tuple(plans),
         drain_grace=get("rules.stop_sending_within_s", float),
@@ -134,81 +140,82 @@
         overload_multiple=get("rules.fall_multiple", float),
         overload_window=get("rules.overload_for_s", float),
         answer_slack=get("rules.answer_slack_s", float, 0.0),
-        max_attempts=get("ceilings.send_cap", whole),
-        may_hedge=get("ceilings.second_copies", flag, False),
-        may_cancel=get("ceilings.may_cancel", flag, False),
-        may_probe=get("ceilings.may_probe", flag, False),
-        may_count=get("family_info.may_count", flag, False),
+        max_attempts=get("ceilings.send_cap", parse_int),
+        may_hedge=get("ceilings.second_copies", parse_bool, False),
+        may_cancel=get("ceilings.may_cancel", parse_bool, False),
+        may_probe=get("ceilings.may_probe", parse_bool, False),
+        may_count=get("family_info.may_count", parse_bool, False),
         counter_timeout=get("family_info.count_wait_s", float, 0.0),
         meter_period=get("family_info.use_period_s", float, 0.0),
-        post_paid=get("family_info.post_paid", flag, False),
+        post_paid=get("family_info.post_paid", parse_bool, False),
         list_on_request=get("registry_mode", {"pushed": False, "on_request": True}.__getitem__, False),
         ask_within=get("rules.ask_within_s", float, 0.0),
-        load_report_via=get("load_info.via", REPORTS.__getitem__, api.LoadReportVia.NONE),
-        load_report_fields=get("load_info.columns", words, ()),
-        retry_after_allowed=get("ceilings.retry_after", flag, False),
+        load_report_via=get("load_info.via", LOAD_REPORT_VIA.__getitem__, api.LoadReportVia.NONE),
+        load_report_fields=get("load_info.columns", parse_list, ()),
+        retry_after_allowed=get("ceilings.retry_after", parse_bool, False),
         max_retry_after=get("ceilings.max_retry_after_s", float, 0.0),
         max_units=get("family_info.most_units", float, math.inf),
     )
 
 
-def read_server(f: Fields) -> api.HostInfo:
+def read_host(fields: Fields) -> api.HostInfo:
     return api.HostInfo(
-        id=f["host"],
-        state=STATES[f["health"]],
-        scale=float(f.get("scale", "1")),
-        zone=int(f.get("region_part", "0")),
-        cell=int(f.get("group", "0")),
-        kind=int(f.get("machine", "0")),
-        started_at=float(f.get("launched_s", "0")),
+        id=fields["host"],
+        state=HOST_STATES[fields["health"]],
+        scale=float(fields.get("scale", "1")),
+        zone=int(fields.get("region_part", "0")),
+        cell=int(fields.get("group", "0")),
+        kind=int(fields.get("machine", "0")),
+        started_at=float(fields.get("launched_s", "0")),
     )
 
 
-def read_report(f: Fields) -> tuple[float, ...]:
-    return tuple(float(value) for value in f.get("health_info", "").split(",") if value)
+def read_load_report(fields: Fields) -> tuple[float, ...]:
+    return tuple(float(value) for value in fields.get("health_info", "").split(",") if value)
 
 
-def read_request(f: Fields) -> api.Request:
+def read_request(fields: Fields) -> api.Request:
     return api.Request(
-        id=f["tid"],
-        class_index=int(f["band"]),
-        plan_index=int(f["tariff"]),
-        customer=int(f["member"]),
-        entry_gateways=int(f.get("n_entries", "1")),
-        expires_at=float(f["expires_s"]),
-        units=float(f.get("price_units", "1")),
+        id=fields["tid"],
+        class_index=int(fields["band"]),
+        plan_index=int(fields["tariff"]),
+        customer=int(fields["member"]),
+        entry_gateways=int(fields.get("n_entries", "1")),
+        expires_at=float(fields["expires_s"]),
+        units=float(fields.get("price_units", "1")),
     )
 
 
-def read_done(f: Fields) -> api.AttemptDone:
-    usage, units = float(f.get("quota_use", "0")), float(f.get("cost", "0"))
+def read_attempt_done(fields: Fields) -> api.AttemptDone:
+    # `quota_use` is the metered use in percent of the rate, plus 1; 0 stands for no value in both fields.
+    usage, units = float(fields.get("quota_use", "0")), float(fields.get("cost", "0"))
     return api.AttemptDone(
-        request=f["tid"],
-        attempt=int(f["n"]),
-        outcome=OUTCOMES[f["outcome"]],
-        delay=float(f["delay_seen_s"]),
-        request_done=f.get("over", "0") == "1",
+        request=fields["tid"],
+        attempt=int(fields["n"]),
+        outcome=OUTCOMES[fields["outcome"]],
+        delay=float(fields["delay_seen_s"]),
+        request_done=fields.get("over", "0") == "1",
         usage=(usage - 1) / 100 if usage else None,
         units=units or None,
-        load_report=read_report(f),
+        load_report=read_load_report(fields),
     )
 
 
-READERS: dict[str, Callable[[Fields], api.Event]] = {
+EVENT_READERS: dict[str, Callable[[Fields], api.Event]] = {
     "INGRESS": read_request,
     "FIRST": lambda f: api.StreamStarted(f["tid"], int(f["n"]), float(f["delay_seen_s"])),
-    "DONE": read_done,
+    "DONE": read_attempt_done,
     "GONE": lambda f: api.RequestAbandoned(f["tid"]),
     "TIMEOUT_FIRED": lambda f: api.TimerFired(int(f["mark"])),
     "PROBE_DONE": lambda f: api.ProbeDone(
-        f["host"], OUTCOMES[f["outcome"]], float(f["delay_seen_s"]), read_report(f)
+        f["host"], OUTCOMES[f["outcome"]], float(f["delay_seen_s"]), read_load_report(f)
     ),
     "COUNTER_REPLY": lambda f: api.CounterReply(
         int(f["entry_name"]), f["outcome"] == "pass", float(f.get("level", "0")), f["outcome"] == "too_slow"
     ),
 }
 
-WRITERS: dict[type, Callable[[Any], str]] = {
+ACTION_WRITERS: dict[type, Callable[[Any], str]] = {
     api.Send: lambda a: f"HAND_OFF\ttid={a.request}\thost={a.host}\tuntil_s={a.deadline:.6f}",
     api.Cancel: lambda a: f"ABORT_ATTEMPT\ttid={a.request}\tn={a.attempt}",
     api.Refuse: lambda a: f"OVERLOAD_REPLY\ttid={a.request}\tcool_down_s={a.retry_after:.6f}",
@@ -225,99 +232,106 @@
 
 
 class Adapter:
-    """Reads batches, hands each event to its instance, and writes one reply a batch."""
+    """Reads batches of lines, passes each event to its gateway and writes one reply for each batch.
+
+    A gateway exists from a HELLO line to an EXIT line and is identified by the number in ABOUT lines.
+    """
 
     def __init__(self) -> None:
-        self.gateways: dict[int, Gateway] = {}
-        self.lists: dict[int, tuple[api.HostInfo, ...]] = {}
+        self.gateways: dict[int, Gateway] = {}  # by number
+        self.host_lists: dict[int, tuple[api.HostInfo, ...]] = {}  # by the number in their MANIFEST line
 
     def run(self, source: Iterable[str], sink: TextIO) -> None:
         lines = iter(source)
         for line in lines:
-            sink.write(self.batch(line, lines))
+            sink.write(self.handle_batch(line, lines))
             sink.flush()
 
-    def batch(self, first: str, lines: Iterator[str]) -> str:
+    def handle_batch(self, first: str, lines: Iterator[str]) -> str:
+        """The reply to the batch whose first line is `first` and whose other lines come from `lines`."""
         reply: list[str] = []
-        speaking = instance = -1
-        now, line, started = 0.0, first, False
+        reply_instance = instance = -1  # none yet
+        now, line, in_batch = 0.0, first, False
         while True:
             text = line.rstrip("\r\n")
             try:
-                word, *parts = text.split("\t")
-                if word == "FLUSH":
+                keyword, *parts = text.split("\t")
+                if keyword == "FLUSH":
                     break
                 actions: list[api.Action] | str = []
-                if word == "ROUND":
-                    now, started = float(split_fields(parts)["moment_s"]), True
-                elif not started:
-                    raise ValueError("outside a batch")
-                elif word == "ABOUT":
+                if keyword == "ROUND":
+                    now, in_batch = float(split_fields(parts)["moment_s"]), True
+                elif not in_batch:
+                    raise ValueError("not within a batch")
+                elif keyword == "ABOUT":
                     instance = int(split_fields(parts)["i"])
-                elif word == "MANIFEST":
-                    self._read_list(split_fields(parts), lines)
+                elif keyword == "MANIFEST":
+                    self._read_host_list(split_fields(parts), lines)
                 else:
-                    actions = self._event(now, instance, word, parts)
+                    actions = self._handle_event(now, instance, keyword, parts)
             except (ValueError, KeyError, IndexError) as error:
                 raise MalformedLine(f"cannot read line {text!r}: {error!r}") from error
-            if actions and speaking != instance:
+            if actions and reply_instance != instance:
                 reply.append(f"AS\ti={instance}")
-                speaking = instance
+                reply_instance = instance
             if isinstance(actions, str):
                 reply.append(f"CRASH\tmessage={actions}")
             else:
-                reply.extend(WRITERS[type(action)](action) for action in actions)
+                reply.extend(ACTION_WRITERS[type(action)](action) for action in actions)
             line = next(lines, "")
             if not line:
                 raise MalformedLine(f"input ended within a batch, after line {text!r}")
         reply.append("DONE\n")
         return "\n".join(reply)
 
-    def _read_list(self, f: Fields, lines: Iterator[str]) -> None:
-        servers = []
-        for _ in range(int(f["items"])):
+    def _read_host_list(self, fields: Fields, lines: Iterator[str]) -> None:
+        hosts = []
+        for _ in range(int(fields["items"])):
             text = next(lines, "").rstrip("\r\n")
-            word, *parts = text.split("\t")
-            if word != "M":
-                raise ValueError(f"a list entry was due, not {text!r}")
+            keyword, *parts = text.split("\t")
+            if keyword != "M":
+                raise ValueError(f"expected an M line, got {text!r}")
             try:
-                servers.append(read_server(split_fields(parts)))
+                hosts.append(read_host(split_fields(parts)))
             except (ValueError, KeyError) as error:
                 raise MalformedLine(f"cannot read line {text!r}: {error!r}") from error
-        self.lists[int(f["list"])] = tuple(servers)
-
-    def _event(self, now: float, instance: int, word: str, parts: list[str]) -> list[api.Action] | str:
-        """The module's answer to one event, or the plain message of its failure."""
-        if word == "HELLO":
-            f = split_fields(parts)
-            seed = int(f["nonce64"])
-            return self._guarded(lambda: self._start(instance, f, seed))
-        if word == "EXIT":
+        self.host_lists[int(fields["list"])] = tuple(hosts)
+
+    def _handle_event(
+        self, now: float, instance: int, keyword: str, parts: list[str]
+    ) -> list[api.Action] | str:
+        """The actions that a gateway returns for one event, or the text of the exception that it raised."""
+        if keyword == "HELLO":
+            fields = split_fields(parts)
+            seed = int(fields["nonce64"])
+            return self._call_gateway(lambda: self._start_gateway(instance, fields, seed))
+        if keyword == "EXIT":
             self.gateways.pop(instance, None)
             return []
-        if word == "ROSTER_CHANGE":
-            f = split_fields(parts)
-            kind = LIST_KINDS[f["how"]]
-            servers = () if kind is api.ListKind.FAILED else self.lists[int(f["list"])]
-            event: api.Event = api.HostList(kind, servers)
-        elif word in READERS:
-            event = READERS[word](split_fields(parts))
-        elif word == "MAIL":
+        if keyword == "ROSTER_CHANGE":
+            fields = split_fields(parts)
+            kind = LIST_KINDS[fields["how"]]
+            hosts = () if kind is api.ListKind.FAILED else self.host_lists[int(fields["list"])]
+            event: api.Event = api.HostList(kind, hosts)
+        elif keyword in EVENT_READERS:
+            event = EVENT_READERS[keyword](split_fields(parts))
+        elif keyword == "MAIL":
             return []
         else:
-            raise ValueError("unknown message")
+            raise ValueError("unknown keyword")
         gateway = self.gateways[instance]
-        return self._guarded(lambda: gateway.handle(now, event))
+        return self._call_gateway(lambda: gateway.handle(now, event))
 
-    def _start(self, instance: int, f: Fields, seed: int) -> list[api.Action]:
-        self.gateways[instance] = Gateway(read_settings(f), seed)
+    def _start_gateway(self, instance: int, settings: Fields, seed: int) -> list[api.Action]:
+        self.gateways[instance] = Gateway(read_settings(settings), seed)
         return []
 
     @staticmethod
-    def _guarded(call: Callable[[], list[api.Action]]) -> list[api.Action] | str:
+    def _call_gateway(call: Callable[[], list[api.Action]]) -> list[api.Action] | str:
+        """The result of the call, or the text of the exception that it raised, on one line."""
         try:
             return call()
-        except Exception as error:  # whatever fails in the module is reported, never hidden
+        except Exception as error:  # of any kind: it becomes a CRASH line
             return f"{type(error).__name__}: {error}".replace("\n", " ").replace("\t", " ")
 
 
--- a/coralvale/net/config.py
+++ b/coralvale/net/config.py
@@ -1,4 +1,4 @@
-"""The configuration file: read once at start, every mistake in it named by a `ConfigError`."""
+"""Reads and validates the configuration file, which is in JSON."""
 
 from __future__ import annotations
 
@@ -9,56 +9,61 @@
 from typing import Any
 
 from coralvale import interface as api
-from coralvale.adapter import Fields, read_settings, read_value, whole
+from coralvale.adapter import Fields, parse_int, read_settings, read_value
 
 Address = tuple[str, int]
-HostInstance = tuple[str, float, Address]  # a host: its id, when it started, where it listens
+# One run of a host: its id, its start time (Unix time) and the address that it listens on.
+HostInstance = tuple[str, float, Address]
 
 
 MAX_PORT = 65535
-MIN_SOCKETS = 64  # descriptors, under which a gateway cannot serve
-# What holds where the file leaves it out.
-DEFAULT_SOCKETS = 1024  # descriptors
-DEFAULT_CONNECT_TIMEOUT_S = 0.25  # s
-DEFAULT_CONN_IDLE_S = 15.0  # s
+MIN_SOCKETS = 64  # file descriptors that a gateway needs in order to serve
+DEFAULT_SOCKETS = 1024  # file descriptors
+DEFAULT_CONNECT_TIMEOUT_S = 0.25
+DEFAULT_CONN_IDLE_S = 15.0
 DEFAULT_MOST_HELD = 20_000  # requests
 
 
 class ConfigError(ValueError):
-    """The configuration cannot be used; the message is one plain line."""
+    """The configuration file cannot be read or is invalid; the message names the file and the fault."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    name: str
+    """The contents of a configuration file."""
+
+    name: str  # of the gateway
     listen: Address
     discovery: Address
-    counter: Address | None
-    seed: int
-    sockets: int
-    known_hosts: dict[str, Any]
+    counter: Address | None  # None: there is no shared counter
+    seed: int  # of the decision module's random numbers
+    sockets: int  # file descriptors that the gateway may use
+    known_hosts: dict[str, Any]  # host list to start with, in the form of discovery's messages
     settings: api.Settings
-    zones: tuple[str, ...]
-    machine_types: tuple[str, ...]
-    connect_timeout: float
-    conn_idle: float
-    most_held: int
+    zones: tuple[str, ...]  # names, in the order of the zone numbers
+    machine_types: tuple[str, ...]  # names, in the order of `HostInfo.kind`
+    connect_timeout: float  # s
+    conn_idle: float  # s after which hosts close an idle connection
+    most_held: int  # requests that may be in progress at once
 
 
 def read_address(text: str) -> Address:
     host, colon, port = text.rpartition(":")
     if not (host and colon and port.isdecimal() and int(port) <= MAX_PORT):
-        raise ValueError(f"{text!r} is no address:port")
+        raise ValueError(f"{text!r} is not of the form address:port")
     host = host.strip("[]")
     try:
         ipaddress.ip_address(host)
     except ValueError:
-        raise ValueError(f"{text!r}: {host!r} is no IP address, and there is no DNS") from None
+        raise ValueError(f"{text!r}: {host!r} is not an IP address (names are not resolved)") from None
     return host, int(port)
 
 
 def flatten(settings: dict[str, Any]) -> Fields:
-    """Nested JSON to the paths of the simulator's wire, so that the adapter's reader serves both."""
+    """Converts nested settings to the fields of the simulator's text protocol, which `read_settings` takes.
+
+    Keys are joined by dots, and lists of plain values by commas; objects in a list are numbered and counted.
+    """
     fields: Fields = {}
 
     def walk(path: str, value: object) -> None:
@@ -86,20 +91,20 @@
     except OSError as error:
         raise ConfigError(f"{path}: {error.strerror}") from None
     except ValueError as error:
-        raise ConfigError(f"{path}: no JSON: {error}") from None
+        raise ConfigError(f"{path}: not valid JSON: {error}") from None
     try:
         return parse_config(data)
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        told = f"{error.args[0]}: missing" if isinstance(error, KeyError) else str(error)
-        raise ConfigError(f"{path}: {told}") from None
+        message = f"{error.args[0]}: missing" if isinstance(error, KeyError) else str(error)
+        raise ConfigError(f"{path}: {message}") from None
 
 
 def parse_config(data: dict[str, Any]) -> Config:
     settings = data["settings"]
-    pairs = flatten(settings)
+    fields = flatten(settings)
 
-    def names(path: str) -> tuple[str, ...]:
-        value = settings.get(path, [])  # as they stand: the wire's commas would split a name that holds one
+    def read_names(key: str) -> tuple[str, ...]:
+        value = settings.get(key, [])  # in `fields`, a name that contains a comma would become two
         return tuple(map(str, value)) if isinstance(value, list) else (str(value),)
 
     config = Config(
@@ -110,15 +115,15 @@
         seed=int(str(data["seed"]), 16),
         sockets=int(data.get("limits", {}).get("sockets", DEFAULT_SOCKETS)),
         known_hosts=data.get("known") or {},
-        settings=read_settings(pairs),
-        zones=names("zones"),
-        machine_types=names("skus"),
-        connect_timeout=read_value(pairs, "ceilings.connect_timeout_s", float, DEFAULT_CONNECT_TIMEOUT_S),
-        conn_idle=read_value(pairs, "ceilings.conn_idle_s", float, DEFAULT_CONN_IDLE_S),
-        most_held=read_value(pairs, "ceilings.most_held", whole, DEFAULT_MOST_HELD),
+        settings=read_settings(fields),
+        zones=read_names("zones"),
+        machine_types=read_names("skus"),
+        connect_timeout=read_value(fields, "ceilings.connect_timeout_s", float, DEFAULT_CONNECT_TIMEOUT_S),
+        conn_idle=read_value(fields, "ceilings.conn_idle_s", float, DEFAULT_CONN_IDLE_S),
+        most_held=read_value(fields, "ceilings.most_held", parse_int, DEFAULT_MOST_HELD),
     )
     if config.sockets < MIN_SOCKETS:
-        raise ValueError(f"limits.sockets: {config.sockets} is under 64")
+        raise ValueError(f"limits.sockets: {config.sockets} is below 64")
     for name in ("connect_timeout", "conn_idle", "most_held"):
         if not getattr(config, name) > 0:
             raise ValueError(f"{name}: {getattr(config, name)} is not above 0")
--- a/coralvale/net/counter.py
+++ b/coralvale/net/counter.py
@@ -84,7 +84,7 @@
                 connection.close()
 
     def drain(self) -> None:
-        """Closes each connection as soon as its calls are answered, and all of them once every call has ended.
+        """Closes each connection once its calls are answered, and all of them after the last call's timeout.
 
         `add` must not be called any more.
         """
