--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -1,4 +1,4 @@
-"""The bucket on the counter: when it is asked, what it lets in; no request is ever held for long by it."""
+"""The bucket shared on the counter: when calls are made, what is admitted, and that no request waits long."""
 
 import math
 from dataclasses import replace
@@ -9,53 +9,54 @@
 from coralvale import interface as api
 from coralvale.shared_quota import CONGESTION_BORNE, NUMBER_LIFETIME, TRUST_EACH
 
-MANY = 40  # gateways of a customer's set
+MANY = 40  # gateways that receive requests of one customer
 
 
-def counting(**more: object) -> Bench:
+def bench_with_counter(**more: object) -> Bench:
     bench = Bench(gateways=100, may_count=True, counter_timeout=0.05, **more)
     bench.gateway.admission.shared.trust = 1.0
     return bench
 
 
-def ask(bench: Bench, **more: object) -> tuple[str, api.CounterAdd]:
+def request_with_call(bench: Bench, **more: object) -> tuple[str, api.CounterAdd]:
+    """Feeds a request for which a call to the counter must be made; returns its id and the call."""
     name, actions = bench.request(entry_gateways=MANY, **more)
     assert [type(a) for a in actions] == [api.CounterAdd]
     return name, actions[0]
 
 
-class Counter:
-    """The counter of a fleet of benches on one clock."""
+class FakeCounter:
+    """A counter that several benches share."""
 
     def __init__(self) -> None:
         self.totals: dict[int, float] = {}
 
-    def serve(self, bench: Bench, actions: list[api.Action]) -> list[api.Action]:
-        """Answers all calls among the actions, and those that follow; returns the other actions."""
+    def answer_calls(self, bench: Bench, actions: list[api.Action]) -> list[api.Action]:
+        """Answers all calls among the actions and those that result; returns the other actions."""
         others = [a for a in actions if not isinstance(a, api.CounterAdd)]
         for call in (a for a in actions if isinstance(a, api.CounterAdd)):
             total = self.totals[call.name] = self.totals.get(call.name, 0.0) + call.amount
-            others += self.serve(bench, bench.feed(api.CounterReply(call.name, True, total)))
+            others += self.answer_calls(bench, bench.feed(api.CounterReply(call.name, True, total)))
         return others
 
 
-def fleet(size: int, now: float) -> list[Bench]:
-    benches = [counting(seed=seed) for seed in range(size)]
+def make_benches(size: int, now: float) -> list[Bench]:
+    benches = [bench_with_counter(seed=seed) for seed in range(size)]
     for bench in benches:
         bench.now = now
     return benches
 
 
-def test_nothing_is_asked_for_a_set_of_few_gateways() -> None:
-    bench = counting()
+def test_no_call_is_made_for_a_customer_with_few_entry_gateways() -> None:
+    bench = bench_with_counter()
     for _ in range(20):
         _, actions = bench.request(entry_gateways=4)
         assert not [a for a in actions if isinstance(a, api.CounterAdd)]
 
 
-def test_where_each_part_of_the_burst_holds_a_request_the_meter_spares_the_counter() -> None:
+def test_a_metered_customer_needs_no_call_if_each_gateways_part_of_the_burst_holds_a_request() -> None:
     for metered in (True, False):
-        bench = counting(meter_period=0.5 * metered)
+        bench = bench_with_counter(meter_period=0.5 * metered)
         for entries, units in ((8, 1.0), (4, 2.0), (8, 2.0), (16, 1.0)):  # of a burst of eight
             customer = entries + 100 * int(units)
             _, actions = bench.request(customer=customer, entry_gateways=entries, units=units)
@@ -67,52 +68,56 @@
             )
 
 
-def test_nothing_is_asked_where_there_is_no_counter_or_little_time() -> None:
+def test_no_call_is_made_without_a_counter_or_with_little_time_left() -> None:
     assert [type(a) for a in Bench(gateways=100).request(entry_gateways=MANY)[1]] == [api.Send]
-    bench = counting()
+    bench = bench_with_counter()
     _, actions = bench.request(entry_gateways=MANY, expires_at=bench.now + 0.15)
     assert not [a for a in actions if isinstance(a, api.CounterAdd)]
 
 
-def test_nothing_is_asked_where_letting_in_beyond_the_quota_costs_nothing() -> None:
-    bench = counting(plans=(replace(PLAN, excess_cost=0.0, excess_worth=0.1),))
+def test_no_call_is_made_if_requests_beyond_the_quota_cost_nothing() -> None:
+    bench = bench_with_counter(plans=(replace(PLAN, excess_cost=0.0, excess_worth=0.1),))
     assert [type(a) for a in bench.request(entry_gateways=MANY)[1]] == [api.Send]
 
 
-def test_many_gateways_let_in_about_one_burst_at_once() -> None:
-    """300 gateways with one request each: a bucket each would let in 300 units of a burst of 8."""
-    counter, sent = Counter(), 0
-    for bench in fleet(300, now=1000.0):
-        sent += [type(a) for a in counter.serve(bench, bench.request(entry_gateways=MANY)[1])] == [api.Send]
+def test_many_gateways_together_admit_one_burst_at_once() -> None:
+    """300 gateways with one request each: with a bucket of their own, they would admit 300 units, not 8."""
+    counter, sent = FakeCounter(), 0
+    for bench in make_benches(300, now=1000.0):
+        sent += [type(a) for a in counter.answer_calls(bench, bench.request(entry_gateways=MANY)[1])] == [
+            api.Send
+        ]
     assert sent == PLAN.burst
 
 
-def test_many_gateways_let_in_what_the_quota_leaks_and_no_more() -> None:
-    counter, sent, seconds = Counter(), 0, 20
-    benches = fleet(MANY, now=1000.0)
-    for tick in range(seconds * 10):  # ten requests a second, each at another gateway, of a rate of four
+def test_many_gateways_together_admit_what_the_quota_allows_and_no_more() -> None:
+    counter, sent, seconds = FakeCounter(), 0, 20
+    benches = make_benches(MANY, now=1000.0)
+    for tick in range(seconds * 10):  # ten requests a second at changing gateways; the rate is 4
         bench = benches[tick * 7 % MANY]
         bench.wait(1000.0 + tick / 10 - bench.now)
-        sent += [type(a) for a in counter.serve(bench, bench.request(entry_gateways=MANY)[1])] == [api.Send]
-    most = PLAN.burst + PLAN.rate * seconds
-    assert 0.9 * most <= sent <= 1.1 * most
+        sent += [type(a) for a in counter.answer_calls(bench, bench.request(entry_gateways=MANY)[1])] == [
+            api.Send
+        ]
+    allowed = PLAN.burst + PLAN.rate * seconds
+    assert 0.9 * allowed <= sent <= 1.1 * allowed
 
 
-def test_what_is_not_used_adds_up_to_one_burst_and_no_more() -> None:
-    counter, sent = Counter(), 0
-    early, late = counting(), fleet(60, now=130.0)
+def test_unused_quota_accumulates_to_one_burst_at_most() -> None:
+    counter, sent = FakeCounter(), 0
+    early, late = bench_with_counter(), make_benches(60, now=130.0)
     early.now = 101.0
-    assert counter.serve(early, ask(early, customer=97)[1:])
+    assert counter.answer_calls(early, request_with_call(early, customer=97)[1:])
     for bench in late:
         actions = bench.request(customer=97, entry_gateways=MANY)[1]
-        sent += [type(a) for a in counter.serve(bench, actions)] == [api.Send]
+        sent += [type(a) for a in counter.answer_calls(bench, actions)] == [api.Send]
     assert PLAN.burst <= sent <= 1.25 * PLAN.burst + 1
 
 
-def test_what_two_gateways_fill_up_at_once_is_taken_back() -> None:
-    benches, calls, total = fleet(2, now=1000.0 + 0.9 * NUMBER_LIFETIME), [], 0.0
+def test_if_two_gateways_fill_up_an_idle_bucket_at_once_one_takes_it_back() -> None:
+    benches, calls, total = make_benches(2, now=1000.0 + 0.9 * NUMBER_LIFETIME), [], 0.0
     for bench in benches:
-        total += ask(bench, customer=97)[1].amount
+        total += request_with_call(bench, customer=97)[1].amount
     for bench in benches:
         (name,) = bench.gateway.admission.shared.pending
         calls += [a for a in bench.feed(api.CounterReply(name, True, total)) if isinstance(a, api.CounterAdd)]
@@ -125,22 +130,23 @@
 
 
 def test_a_bucket_known_to_be_full_needs_no_further_call() -> None:
-    bench = counting()
-    _, call = ask(bench)
+    bench = bench_with_counter()
+    _, call = request_with_call(bench)
     actions = bench.feed(api.CounterReply(call.name, True, 1e6))
-    assert [a.amount for a in actions if isinstance(a, api.CounterAdd)] == [-1.0]  # refused: takes nothing
+    # The request is refused and takes its unit back.
+    assert [a.amount for a in actions if isinstance(a, api.CounterAdd)] == [-1.0]
     assert [type(a) for a in bench.request(entry_gateways=MANY)[1]] == [api.Refuse]
 
 
-def test_a_crowded_counter_is_spared_calls_about_a_customer_that_was_refused() -> None:
-    drained = PLAN.burst / PLAN.rate
-    for congestion, backoff in ((0.0, 0.0), (CONGESTION_BORNE / 2, drained / 2), (1.0, drained)):
-        bench = counting()
-        _, call = ask(bench)
+def test_calls_about_a_refused_customer_back_off_with_the_counters_congestion() -> None:
+    drain_time = PLAN.burst / PLAN.rate
+    for congestion, backoff in ((0.0, 0.0), (CONGESTION_BORNE / 2, drain_time / 2), (1.0, drain_time)):
+        bench = bench_with_counter()
+        _, call = request_with_call(bench)
         shared = bench.gateway.admission.shared
         bucket = shared.pending[call.name][0].bucket
         shared.congestion = congestion
-        full = PLAN.burst + PLAN.rate * (bench.now - bucket.began) + 0.1  # has room again in a moment
+        full = PLAN.burst + PLAN.rate * (bench.now - bucket.began) + 0.1  # full; has room after 0.025 s
         bench.feed(api.CounterReply(call.name, True, full))
         refused_at = bench.now
         shared.trust = TRUST_EACH
@@ -150,41 +156,41 @@
         assert bench.now - refused_at == pytest.approx(backoff, abs=0.11)
 
 
-def test_a_refusal_backs_off_by_the_quota_it_was_counted_under() -> None:
-    """A request that names a plan without a rate, by mistake, may come while the counter is asked."""
-    bench = counting(plans=(PLAN, replace(PLAN, name="open", rate=0.0, burst=0.0, open_limit=2.0)))
-    _, call = ask(bench)
+def test_a_refusal_backs_off_by_the_plan_that_its_call_was_made_for() -> None:
+    """While the call is outstanding, the customer may name a plan without a rate by mistake."""
+    bench = bench_with_counter(plans=(PLAN, replace(PLAN, name="open", rate=0.0, burst=0.0, open_limit=2.0)))
+    _, call = request_with_call(bench)
     bench.gateway.admission.shared.congestion = 1.0
     bench.request(plan_index=1, entry_gateways=MANY)
     assert api.Refuse in [type(a) for a in bench.feed(api.CounterReply(call.name, True, 1e6))]
 
 
-def test_a_counter_whose_line_takes_a_fifth_of_its_time_is_used_in_full() -> None:
-    bench = counting()
+def test_a_counter_that_replies_within_a_fifth_of_its_timeout_is_used_in_full() -> None:
+    bench = bench_with_counter()
     for customer in range(100):
         bench.wait(0.1)
-        _, call = ask(bench, customer=customer)
+        _, call = request_with_call(bench, customer=customer)
         bucket = bench.gateway.admission.shared.pending[call.name][0].bucket
-        bench.now += 0.001 if customer == 0 else 0.01  # of the 0.05 that it may take
+        bench.now += 0.001 if customer == 0 else 0.01  # s, of a timeout of 0.05 s
         empty = call.amount + PLAN.rate * (bench.now - bucket.began)
         assert [type(a) for a in bench.feed(api.CounterReply(call.name, True, empty))] == [api.Send]
     assert bench.gateway.admission.shared.trust == TRUST_EACH
 
 
-def test_one_that_was_counted_full_gets_nothing_by_the_own_bucket() -> None:
-    bench = counting()
-    _, call = ask(bench)
+def test_after_the_shared_bucket_was_full_the_gateways_own_bucket_admits_nothing() -> None:
+    bench = bench_with_counter()
+    _, call = request_with_call(bench)
     bench.feed(api.CounterReply(call.name, True, call.amount + PLAN.rate * NUMBER_LIFETIME + PLAN.burst))
-    bench.wait(12.0)  # its next request here comes no sooner
+    bench.wait(12.0)  # until the next request at this gateway
     bench.gateway.admission.shared.trust = 0.0
     assert bench.gateway.admission.restrictors[1].wait(1.0) == 0.0
     assert [type(a) for a in bench.request(entry_gateways=MANY)[1]] == [api.Refuse]
 
 
-def test_the_own_bucket_decides_when_the_counter_fails() -> None:
+def test_the_gateways_own_bucket_decides_when_the_counter_fails() -> None:
     for reply in ((False, 0.0), (True, math.nan), (True, math.inf)):
-        bench = counting()
-        _, call = ask(bench)
+        bench = bench_with_counter()
+        _, call = request_with_call(bench)
         assert [type(a) for a in bench.feed(api.CounterReply(call.name, *reply))] == [api.Send]
         second = bench.request(entry_gateways=MANY)[1]
         if isinstance(second[0], api.CounterAdd):
@@ -192,55 +198,55 @@
         assert [type(a) for a in second] == [api.Refuse]
 
 
-def test_what_was_let_in_uncounted_is_told_with_the_next_call() -> None:
-    bench = counting()
-    _, call = ask(bench)
-    bench.feed(api.CounterReply(call.name, False, 0.0))  # turned away, and let in by the own bucket
+def test_units_admitted_without_the_counter_are_added_with_the_next_call() -> None:
+    bench = bench_with_counter()
+    _, call = request_with_call(bench)
+    bench.feed(api.CounterReply(call.name, False, 0.0))  # not added; admitted by the gateway's own bucket
     bench.gateway.admission.shared.trust = 1.0
-    assert ask(bench)[1].amount == 2.0
-    bench = counting()
-    _, call = ask(bench)
-    bench.feed(api.CounterReply(call.name, False, 0.0, maybe_added=True))  # it is on the counter's line
+    assert request_with_call(bench)[1].amount == 2.0
+    bench = bench_with_counter()
+    _, call = request_with_call(bench)
+    bench.feed(api.CounterReply(call.name, False, 0.0, maybe_added=True))  # the counter may have it
     bench.gateway.admission.shared.trust = 1.0
-    assert ask(bench)[1].amount == 1.0
+    assert request_with_call(bench)[1].amount == 1.0
 
 
 CAPPED = replace(PLAN, rate=100.0, burst=200.0, ceiling_rate=200.0, ceiling_burst=400.0, ceiling_slack=40.0)
 
 
-def test_what_is_over_the_even_part_of_a_ceiling_is_taken_from_the_pool() -> None:
-    bench, counter = counting(plans=(CAPPED,), seed=3), Counter()
+def test_requests_beyond_the_even_share_of_a_ceiling_take_from_the_pool() -> None:
+    bench, counter = bench_with_counter(plans=(CAPPED,), seed=3), FakeCounter()
     bench.wait(10.0)
     sent = 0
-    for _ in range(40):  # 20 units in a second: the even part of the ceiling is five, and six at once
+    for _ in range(40):  # 20 units a second; this gateway's even share is 3 a second, 6 at once
         name, actions = bench.request(entry_gateways=MANY)
-        if any(isinstance(a, api.Send) for a in counter.serve(bench, actions)):
+        if any(isinstance(a, api.Send) for a in counter.answer_calls(bench, actions)):
             bench.done(name)
             sent += 1
         bench.wait(0.05)
-    assert sent >= 36  # a new pool begins full and drains
+    assert sent >= 36  # a new pool starts without room
 
 
-def test_a_pool_known_to_have_no_room_is_not_asked_again_before_it_has() -> None:
-    bench = counting(plans=(replace(CAPPED, excess_cost=0.0),))  # no call about the quota
-    _, call = ask(bench)
+def test_a_pool_without_room_is_not_called_again_until_it_has_room() -> None:
+    bench = bench_with_counter(plans=(replace(CAPPED, excess_cost=0.0),))  # no calls but those to the pool
+    _, call = request_with_call(bench)
     began = bench.gateway.admission.shared.pending[call.name][0].bucket.began
     rate, most = bench.gateway.admission.restrictors[1].pool
-    total = rate * (bench.now - began) + most + rate + call.amount  # a second's worth over the brim
+    total = rate * (bench.now - began) + most + rate + call.amount  # has room after about 1 s
     actions = bench.feed(api.CounterReply(call.name, True, total))
     assert [a.amount for a in actions if isinstance(a, api.CounterAdd)] == [-1.0]
     asked = []
-    for _ in range(24):  # each 0.05 s, of which the even part lets in every seventh
+    for _ in range(24):  # every 0.05 s; the even share admits every seventh
         bench.wait(0.05)
         asked.append(api.CounterAdd in [type(a) for a in bench.request(entry_gateways=MANY)[1]])
     assert not any(asked[:20]) and any(asked[20:])
 
 
-def test_even_parts_and_pool_keep_to_the_ceiling_together() -> None:
-    """Forty gateways that are asked for far more than the ceiling, of which the counter forgets all twice."""
-    plan = replace(CAPPED, excess_cost=0.1, rate=1e6, burst=1e6)  # nothing but the ceiling binds
-    benches = [counting(plans=(plan,), seed=seed) for seed in range(MANY)]
-    counter, store, last, least = Counter(), plan.ceiling_burst, 110.0, plan.ceiling_burst
+def test_even_shares_and_pool_together_stay_within_the_ceiling() -> None:
+    """Forty gateways get far more requests than the ceiling allows; the counter loses its totals twice."""
+    plan = replace(CAPPED, excess_cost=0.1, rate=1e6, burst=1e6)  # only the ceiling limits
+    benches = [bench_with_counter(plans=(plan,), seed=seed) for seed in range(MANY)]
+    counter, room, updated_at, min_room = FakeCounter(), plan.ceiling_burst, 110.0, plan.ceiling_burst
     for tick in range(600):
         now = 110.0 + tick / 200
         if tick in (200, 400):
@@ -249,78 +255,79 @@
         bench.wait(now - bench.now)
         for _ in range(4):
             name, actions = bench.request(entry_gateways=MANY, units=3.0)
-            actions = counter.serve(bench, actions)
+            actions = counter.answer_calls(bench, actions)
             if any(isinstance(a, api.Send) for a in actions):
                 bench.done(name)
-            store, last = min(plan.ceiling_burst, store + plan.ceiling_rate * (now - last)), now
-            store -= 3.0 * sum(isinstance(a, api.Send) for a in actions)
-            least = min(least, store)
-    assert -plan.ceiling_slack <= least < plan.ceiling_burst / 2
+            room, updated_at = min(plan.ceiling_burst, room + plan.ceiling_rate * (now - updated_at)), now
+            room -= 3.0 * sum(isinstance(a, api.Send) for a in actions)
+            min_room = min(min_room, room)
+    assert -plan.ceiling_slack <= min_room < plan.ceiling_burst / 2
 
 
-def test_a_silent_counter_loses_no_request() -> None:
-    bench = counting()
-    name, _ = ask(bench)
+def test_no_request_is_lost_when_the_counter_does_not_reply() -> None:
+    bench = bench_with_counter()
+    name, _ = request_with_call(bench)
     sends = [a for a in bench.wait(0.3) if isinstance(a, api.Send)]
     assert [s.request for s in sends] == [name]
     assert bench.gateway.admission.shared.pending == {}
 
 
-def test_a_failing_counter_is_asked_ever_less_and_again_later() -> None:
-    bench = counting()
+def test_a_failing_counter_is_called_less_and_less_until_it_works_again() -> None:
+    bench = bench_with_counter()
 
-    def asked_of(first: int) -> int:
-        asked = 0
+    def calls_made(first: int) -> int:
+        count = 0
         for customer in range(first, first + 100):
             bench.wait(0.1)
             call = bench.request(customer=customer, entry_gateways=MANY)[1][0]
             if isinstance(call, api.CounterAdd):
-                asked += 1
+                count += 1
                 bench.feed(api.CounterReply(call.name, False, 0.0))
-        return asked
+        return count
 
-    assert 10 < asked_of(0) < 60
-    assert asked_of(100) < 20
+    assert 10 < calls_made(0) < 60
+    assert calls_made(100) < 20
     for customer in range(200, 1000):
         bench.wait(0.1)
         for call in bench.request(customer=customer, entry_gateways=MANY)[1]:
             if isinstance(call, api.CounterAdd):
                 bench.feed(api.CounterReply(call.name, True, call.amount))
-    ask(bench, customer=1000)
+    request_with_call(bench, customer=1000)
 
 
-def test_a_slow_counter_that_bears_the_calls_is_not_taken_for_a_crowded_one() -> None:
-    bench = counting()
+def test_a_counter_that_is_slow_but_not_congested_is_used_in_full() -> None:
+    bench = bench_with_counter()
     for customer in range(100):
-        _, call = ask(bench, customer=customer)
-        bench.now += 0.03  # of the 0.05 that it may take, always
+        _, call = request_with_call(bench, customer=customer)
+        bench.now += 0.03  # s for each call, of a timeout of 0.05 s
         bench.feed(api.CounterReply(call.name, True, call.amount))
     assert bench.gateway.admission.shared.trust == TRUST_EACH
 
 
-def test_in_a_crowd_a_sample_of_the_small_requests_stands_for_all_of_them() -> None:
-    for trust, least, most in ((1.0, 0.2, 0.3), (1.5, 0.57, 0.68), (TRUST_EACH, 1.0, 1.0)):
-        bench, amounts = counting(max_units=4.0), list[float]()
+def test_under_congestion_a_sample_of_the_small_requests_stands_for_all_of_them() -> None:
+    for trust, low, high in ((1.0, 0.2, 0.3), (1.5, 0.57, 0.68), (TRUST_EACH, 1.0, 1.0)):
+        bench, amounts = bench_with_counter(max_units=4.0), list[float]()
         for customer in range(1000):
             bench.gateway.admission.shared.trust = trust
             action = bench.request(customer=customer, entry_gateways=MANY)[1][0]
             if isinstance(action, api.CounterAdd):
                 amounts.append(action.amount)
-        assert least <= len(amounts) / 1000 <= most
+        assert low <= len(amounts) / 1000 <= high
         assert 0.9 <= sum(amounts) / 1000 <= 1.1
-        assert ask(bench, customer=1000, units=4.0)[1].amount == 4.0  # the large ones are all asked about
+        # Large requests are not sampled.
+        assert request_with_call(bench, customer=1000, units=4.0)[1].amount == 4.0
 
 
-def sampled(bench: Bench) -> api.CounterAdd:
-    """The first call about a small request that is drawn to be asked about, and so stands for others."""
+def first_sampled_call(bench: Bench) -> api.CounterAdd:
+    """The first call for a small request; it is drawn at random, so its amount also stands for others."""
     calls = (bench.request(customer=customer, entry_gateways=MANY)[1][0] for customer in range(100))
     call = next(c for c in calls if isinstance(c, api.CounterAdd))
     assert call.amount == 4.0
     return call
 
 
-def test_a_request_stands_for_no_others_while_the_own_bucket_lets_none_in() -> None:
-    bench, amounts = counting(max_units=4.0), list[float]()
+def test_a_sampled_request_stands_only_for_itself_while_the_gateways_own_bucket_is_full() -> None:
+    bench, amounts = bench_with_counter(max_units=4.0), list[float]()
     for customer in range(100):
         bench.gateway.admission.shared.trust = 1.0
         bench.request(customer=customer, entry_gateways=MANY)
@@ -334,9 +341,9 @@
     assert set(amounts) == {1.0}
 
 
-def test_requests_that_guards_refuse_leave_nothing_on_the_counter_whether_asked_about_or_not() -> None:
-    """One that is asked about stands for others; these give back their units as it does its own."""
-    bench, told, untold = counting(max_units=4.0, servers=()), 0.0, 0.0
+def test_requests_refused_for_lack_of_a_host_leave_no_units_on_the_counter() -> None:
+    """A sampled request is added for others too; they give back their units as it gives back its own."""
+    bench, added, unreported_units = bench_with_counter(max_units=4.0, servers=()), 0.0, 0.0
     for customer in range(1000):
         bench.gateway.admission.shared.trust = 1.0
         action = bench.request(customer=customer, entry_gateways=MANY)[1][0]
@@ -344,32 +351,32 @@
             began = bench.gateway.admission.shared.pending[action.name][0].bucket.began
             empty = action.amount + PLAN.rate * (bench.now - began)
             assert [type(a) for a in bench.feed(api.CounterReply(action.name, True, empty))] == [api.Refuse]
-            told += action.amount
-        untold += bench.gateway.admission.restrictors[customer].unreported
-    assert untold == -1000.0
-    assert 0.9 <= told / 1000 <= 1.1
+            added += action.amount
+        unreported_units += bench.gateway.admission.restrictors[customer].unreported
+    assert unreported_units == -1000.0
+    assert 0.9 <= added / 1000 <= 1.1
 
 
-def test_a_request_refused_by_the_shared_bucket_leaves_there_what_it_stands_for() -> None:
-    bench = counting(max_units=4.0)
-    call = sampled(bench)
+def test_a_sampled_request_that_is_refused_takes_back_only_its_own_units() -> None:
+    bench = bench_with_counter(max_units=4.0)
+    call = first_sampled_call(bench)
     actions = bench.feed(api.CounterReply(call.name, True, 1e6))
     assert [a.amount for a in actions if isinstance(a, api.CounterAdd)] == [-1.0]
 
 
-def test_what_stands_for_others_takes_no_room_from_the_request_itself() -> None:
-    for fill, lets_in in ((PLAN.burst - 1.0, True), (PLAN.burst - 0.5, False)):
-        bench = counting(max_units=4.0)
-        call = sampled(bench)
+def test_units_for_other_requests_do_not_count_against_the_sampled_one() -> None:
+    for fill, admitted in ((PLAN.burst - 1.0, True), (PLAN.burst - 0.5, False)):
+        bench = bench_with_counter(max_units=4.0)
+        call = first_sampled_call(bench)
         began = bench.gateway.admission.shared.pending[call.name][0].bucket.began
         total = call.amount + fill + PLAN.rate * (bench.now - began)
         actions = bench.feed(api.CounterReply(call.name, True, total))
-        assert (api.Send in [type(a) for a in actions]) is lets_in
+        assert (api.Send in [type(a) for a in actions]) is admitted
 
 
-def test_all_gateways_count_the_same_customers_where_not_all_can_be_counted() -> None:
+def test_all_gateways_count_the_same_customers_when_they_cannot_count_all() -> None:
     counted = []
-    for bench in fleet(3, now=100.0):
+    for bench in make_benches(3, now=100.0):
         asked = set()
         for customer in range(200):
             bench.gateway.admission.shared.trust = 0.3
@@ -380,30 +387,30 @@
     assert 40 < len(counted[0]) < 80
 
 
-def test_a_client_that_leaves_while_the_counter_is_asked_gets_nothing_more() -> None:
-    bench = counting()
-    name, call = ask(bench)
+def test_a_reply_for_a_client_that_has_left_is_ignored() -> None:
+    bench = bench_with_counter()
+    name, call = request_with_call(bench)
     bench.feed(api.RequestAbandoned(name))
     assert bench.feed(api.CounterReply(call.name, True, 1.0)) == []
-    assert bench.feed(api.CounterReply(call.name, True, 1.0)) == []  # a reply that nobody waits for
+    assert bench.feed(api.CounterReply(call.name, True, 1.0)) == []  # no call is outstanding
     assert bench.gateway.admission.shared.pending == {} and bench.gateway.requests == {}
 
 
-def test_one_that_leaves_takes_back_its_own_units_and_none_that_were_used() -> None:
-    bench = counting()
-    _, call = ask(bench)
+def test_a_client_that_leaves_takes_back_its_own_units_only() -> None:
+    bench = bench_with_counter()
+    _, call = request_with_call(bench)
     assert [type(a) for a in bench.feed(api.CounterReply(call.name, False, 0.0))] == [api.Send]
-    name, call = ask(bench)
-    assert call.amount == 2.0  # with that of the one that was let in unreported
+    name, call = request_with_call(bench)
+    assert call.amount == 2.0  # with that of the first request, which was not added
     bench.feed(api.RequestAbandoned(name))
     bench.feed(api.CounterReply(call.name, True, 2.0))
-    assert ask(bench)[1].amount == 0.0
+    assert request_with_call(bench)[1].amount == 0.0
 
 
-def test_a_counter_that_was_lost_is_soon_used_again() -> None:
-    bench, counter = counting(), Counter()
+def test_a_counter_that_works_again_is_soon_used_again() -> None:
+    bench, counter = bench_with_counter(), FakeCounter()
     bench.gateway.admission.shared.trust = 0.05
     for customer in range(100):
         bench.wait(0.1)
-        counter.serve(bench, bench.request(customer=customer, entry_gateways=MANY)[1])
+        counter.answer_calls(bench, bench.request(customer=customer, entry_gateways=MANY)[1])
     assert bench.gateway.admission.shared.trust > 0.5
