--- a/tests/net_helpers.py
+++ b/tests/net_helpers.py
@@ -1,4 +1,4 @@
-"""A gateway on loopback sockets between the test bed's stand-ins."""
+"""Runs a gateway on loopback sockets, with fake clients, hosts, discovery and counter around it."""
 
 from __future__ import annotations
 
@@ -57,6 +57,7 @@
 
 
 def settings(**changes: dict[str, Any]) -> dict[str, Any]:
+    """A copy of SETTINGS; a changed dictionary is merged into the one it changes, other values replace."""
     copy = json.loads(json.dumps(SETTINGS))
     for key, value in changes.items():
         copy[key] = {**copy[key], **value} if isinstance(value, dict) else value
@@ -64,7 +65,7 @@
 
 
 def run(test: Coroutine[Any, Any, None]) -> None:
-    """Runs a test on the program's own event loop, and ends it if what it waits for never comes."""
+    """Runs a test on uvloop, as the program does; cancels it after 3 * LIMIT seconds."""
 
     async def limited() -> None:
         async with asyncio.timeout(3 * LIMIT):
@@ -74,9 +75,9 @@
 
 
 class FakeTimeSelector(selectors.DefaultSelector):
-    """Time that stands still while sockets have something to tell, then jumps to what comes next."""
+    """Selector with a fake clock: it stands still while sockets have events, then jumps to the next timer."""
 
-    IDLE_WAIT_S = 0.002  # s, real ones, in which what was sent on loopback has come
+    IDLE_WAIT_S = 0.002  # s of real time for data sent on loopback to arrive
 
     def __init__(self) -> None:
         super().__init__()
@@ -90,7 +91,7 @@
 
 
 def run_in_fake_time(test: Coroutine[Any, Any, None]) -> None:
-    """Runs a test on real sockets, but in fake time: seconds of waiting cost nothing and are exact."""
+    """Runs a test on real sockets in fake time: waits take no real time, and their lengths are exact."""
     selector = FakeTimeSelector()
     loop = asyncio.SelectorEventLoop(selector)
     loop.time = lambda: selector.now  # type: ignore[method-assign]
@@ -102,7 +103,7 @@
 
 
 class ManualClock:
-    """In place of the module `time`: the time that connections are judged by moves with the test only."""
+    """Replaces the module `time` in a module under test; only the test moves the time."""
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -112,18 +113,19 @@
 
 
 async def with_timeout(awaitable: Awaitable[Any]) -> Any:
+    """Awaits for at most LIMIT seconds."""
     return await asyncio.wait_for(awaitable, LIMIT)
 
 
 async def until(condition: Callable[[], object]) -> None:
-    """Waits for a condition that no event tells of, such as a count of connections."""
+    """Polls until a condition holds, for at most LIMIT seconds."""
     async with asyncio.timeout(LIMIT):
         while not condition():
             await asyncio.sleep(0.002)
 
 
 class FullListener:
-    """A listener with a full backlog, which answers no further SYN: connects to it hang."""
+    """A listener with a full backlog, which answers no further SYN: attempts to connect to it hang."""
 
     def __init__(self) -> None:
         self.socket = socket.socket()
@@ -141,16 +143,17 @@
 
 
 class Registry(Peer):
-    """Discovery: each watch is answered with a head, then with what the test tells."""
+    """A fake discovery: answers each watch with a response head; the test sends the messages."""
 
     async def watch(self) -> Arrived:
+        """Waits for the next watch and sends it the response head."""
         watch = await self.next()
         watch.reply(WATCH_HEAD)
         return watch
 
 
 class Client:
-    """A client connection of a gateway."""
+    """A client's connection to a gateway."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -166,7 +169,7 @@
         return await self.receive()
 
     async def closed_by_gateway(self) -> bool:
-        """Whether the gateway has ended the connection, with nothing more sent."""
+        """Whether the gateway closes the connection, by FIN or RST, without sending anything more."""
         try:
             return await with_timeout(self.reader.read()) == b""
         except ConnectionError:
@@ -179,7 +182,10 @@
 def request(
     id: str = "r1", class_name: str = "read", target: str = "/api", body: bytes = b"", **headers: str | None
 ) -> bytes:
-    """A request in PROTOCOL's form; a header given as None is left out."""
+    """A request with the headers that a gateway expects; a header given as None is left out.
+
+    Underscores in the names of `headers` stand for hyphens.
+    """
     fields: dict[str, str | None] = {
         "Host": "service.internal",
         "X-Request-ID": id,
@@ -198,7 +204,10 @@
 
 
 def hold_connects(upstreams: Upstreams) -> tuple[asyncio.Event, asyncio.Event]:
-    """From now on connects to hosts wait: events that tell that one has begun, and that let them go on."""
+    """Makes connects to hosts wait.
+
+    Returns two events: the first is set when a connect begins to wait, the second lets them all go on.
+    """
     connect, started, go = upstreams._connect, asyncio.Event(), asyncio.Event()
 
     async def held(*args: Any) -> None:
@@ -211,7 +220,7 @@
 
 
 class ScriptedGateway:
-    """In the module's place: records the events and answers each as the test has laid down."""
+    """Replaces the decision module: records events and answers each as `on` has set for its type."""
 
     def __init__(self) -> None:
         self.events: list[api.Event] = []
@@ -230,10 +239,12 @@
 
 @dataclass
 class RunningGateway:
+    """A started node and what surrounds it."""
+
     node: Node
     registry: Registry
     counter: Peer
-    script: ScriptedGateway
+    script: ScriptedGateway  # decides, unless the gateway was started with `real_module`
     clients: list[Client] = field(default_factory=list)
 
     async def client(self) -> Client:
@@ -242,19 +253,20 @@
         return client
 
     async def ask(self, data: bytes) -> Message:
+        """Sends a request on a new connection and returns the response."""
         return await (await self.client()).ask(data)
 
     async def attempt_done(self, count: int = 1) -> api.AttemptDone:
-        """The newest of `count` outcomes that the module has been told."""
+        """Waits until the decision module has `count` outcomes of attempts; returns the last of these."""
         await until(lambda: len(self.script.received(api.AttemptDone)) >= count)
         return self.script.received(api.AttemptDone)[count - 1]
 
 
 @contextlib.asynccontextmanager
 async def running_gateway(
-    *known: dict[str, Any], real: bool = False, sockets: int = 256, **changes: dict[str, Any]
+    *known_hosts: dict[str, Any], real_module: bool = False, sockets: int = 256, **changes: dict[str, Any]
 ) -> AsyncIterator[RunningGateway]:
-    """A gateway that has started; unless `real`, a script decides in the module's place."""
+    """Starts a gateway with an initial host list; a script decides for it unless `real_module` is set."""
     registry, counter = Registry(), Peer()
     await registry.start()
     await counter.start()
@@ -266,12 +278,12 @@
             "counter": f"127.0.0.1:{counter.port}",
             "seed": "8c1f30d27a5be964",
             "limits": {"sockets": sockets},
-            "known": {"index": 41, "snapshot": True, "endpoints": list(known)},
+            "known": {"index": 41, "snapshot": True, "endpoints": list(known_hosts)},
             "settings": settings(**changes),
         }
     )
     node, script = Node(config), ScriptedGateway()
-    if not real:
+    if not real_module:
         node.gateway = script  # type: ignore[assignment]
     node.start()
     result = RunningGateway(node, registry, counter, script)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -333,7 +333,9 @@
 def test_the_inherited_module_serves_over_sockets() -> None:
     async def test() -> None:
         hosts = [await Peer(answer(body=b"served")).start() for _ in range(3)]
-        async with running_gateway(*(entry(f"s-{i}", h.port) for i, h in enumerate(hosts)), real=True) as w:
+        async with running_gateway(
+            *(entry(f"s-{i}", h.port) for i, h in enumerate(hosts)), real_module=True
+        ) as w:
             client = await w.client()
             for i in range(50):
                 assert (await client.ask(request(f"r{i}", "write", body=b"x"))).body == b"served"
@@ -749,7 +751,7 @@
         hosts = [await Peer(answer()).start(), await Peer(answer()).start()]
         fast = {**SETTINGS["classes"][0], "aim_s": 2.0}
         known = [entry(f"s-{host.port}", host.port) for host in hosts]
-        async with running_gateway(*known, real=True, classes=[fast, SETTINGS["classes"][1]]) as w:
+        async with running_gateway(*known, real_module=True, classes=[fast, SETTINGS["classes"][1]]) as w:
             client = await w.client()
             for number in range(100):  # so that it knows what is usual
                 assert (await client.ask(request(f"r{number}"))).status == 200
@@ -778,7 +780,7 @@
         plan = {"name": "team", "per_second": 0.01, "most_at_once": 1.0}
         changes = {"classes": [fast, SETTINGS["classes"][1]], "packages": [plan]}
         async with running_gateway(
-            entry("s-1", host.port), real=True, family_info={"may_count": False}, **changes
+            entry("s-1", host.port), real_module=True, family_info={"may_count": False}, **changes
         ) as w:
             client = await w.client()
             assert (await client.ask(request("r1"))).status == 200
@@ -824,7 +826,7 @@
             {"name": "mean", "per_second": 0.01, "most_at_once": 1.0},
             {"name": "team", "per_second": 1000.0, "most_at_once": 1000.0},
         ]
-        async with running_gateway(entry("s-1", host.port), real=True, packages=plans) as w:
+        async with running_gateway(entry("s-1", host.port), real_module=True, packages=plans) as w:
             client = await w.client()
             wrong = request("r1", Plan="mean", Quota_Info="units=1,spread=3,first=0")
             assert (await client.ask(wrong)).status == 200
@@ -845,7 +847,7 @@
         plan = {"name": "team", "per_second": 0.001, "most_at_once": 6.0, "excess_cost": 1.0}
         family = {"may_count": False, "most_units": 4, "post_paid": True, "use_period_s": 0.0}
         async with running_gateway(
-            entry("s-1", host.port), real=True, packages=[plan], family_info=family, n_instances=1
+            entry("s-1", host.port), real_module=True, packages=[plan], family_info=family, n_instances=1
         ) as w:
             client = await w.client()
             sets = {"Quota_Info": "units=1,spread=1,first=0"}
@@ -871,7 +873,7 @@
             plan |= {"per_second": 9.0, "most_at_once": 9.0, "never_over_rate": 0.001, "hard_burst": 1.5}
         family = {"may_count": False, "use_period_s": 0.0}
         async with running_gateway(
-            entry("s-1", host.port), real=True, packages=[plan], family_info=family, n_instances=1
+            entry("s-1", host.port), real_module=True, packages=[plan], family_info=family, n_instances=1
         ) as w:
             started, go = hold_connects(w.node.upstreams)
             w.node.gateway.admission.born = -math.inf  # the ceiling is full
@@ -898,7 +900,7 @@
         host = await Peer(answer()).start()
         plan = {"name": "team", "per_second": 1.0, "most_at_once": 6.0, "excess_cost": 1.0}
         changes = {"packages": [plan], "family_info": {"may_count": False}}
-        async with running_gateway(entry("s-1", host.port), real=True, **changes) as w:
+        async with running_gateway(entry("s-1", host.port), real_module=True, **changes) as w:
             client = await w.client()
             headers = {"Quota_Info": "units=1,spread=3,first=1"}
             first = [(await client.ask(request(f"a{i}", **headers))).status for i in range(3)]
@@ -915,7 +917,7 @@
 
     async def test() -> None:
         host = await Peer().start()
-        async with running_gateway(entry("s-1", host.port), real=True) as w:
+        async with running_gateway(entry("s-1", host.port), real_module=True) as w:
             client = await w.client()
             seen = w.node.gateway.hosts["s-1"]
             for number in range(5):
@@ -933,7 +935,7 @@
                 assert (await client.receive()).status == 503
             assert seen.retry_at > w.node.clock.now()
         gone = await Peer().start()
-        async with running_gateway(entry("s-1", gone.port), real=True) as w:
+        async with running_gateway(entry("s-1", gone.port), real_module=True) as w:
             gone.stop()
             await with_timeout(gone.server.wait_closed())
             assert (await w.ask(request())).status == 503
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -55,7 +55,7 @@
     async def test() -> None:
         host = await Peer(answer(body=b"served")).start()
         known = [entry(f"s-{i}", 1 + i, status="leaving") for i in range(SIZE)]
-        async with running_gateway(*known, real=True, n_instances=SIZE, me=SIZE - 1) as w:
+        async with running_gateway(*known, real_module=True, n_instances=SIZE, me=SIZE - 1) as w:
             watch = await w.registry.watch()
             assert len(w.node.discovery.endpoints) == SIZE
             watch.reply(chunk(line(42, entry("s-last", host.port))))
