--- a/coralvale/adapter.py
+++ b/coralvale/adapter.py
@@ -1,8 +1,8 @@
 """Text protocol of the simulator: reads lines as events, writes actions as lines; runs several gateways.
 
 A line is a keyword and `name=value` fields, separated by tabs. A batch of lines starts with ROUND, which
-gives the time, and ends with FLUSH. ABOUT names the gateway that the lines after it are for; MANIFEST and the
-M lines after it hold a host list, to which ROSTER_CHANGE lines refer.
+gives the time, and ends with FLUSH. ABOUT gives the number of the gateway that the next lines are for.
+MANIFEST and the M lines after it hold a host list, to which ROSTER_CHANGE lines refer.
 """
 
 from __future__ import annotations
@@ -234,11 +234,11 @@
 class Adapter:
     """Reads batches of lines, passes each event to its gateway and writes one reply for each batch.
 
-    A gateway exists from a HELLO line to an EXIT line and is identified by the number in ABOUT lines.
+    A gateway exists from a HELLO line to an EXIT line; the instance number in ABOUT lines identifies it.
     """
 
     def __init__(self) -> None:
-        self.gateways: dict[int, Gateway] = {}  # by number
+        self.gateways: dict[int, Gateway] = {}  # by instance number
         self.host_lists: dict[int, tuple[api.HostInfo, ...]] = {}  # by the number in their MANIFEST line
 
     def run(self, source: Iterable[str], sink: TextIO) -> None:
