--- a/coralvale/net/node.py
+++ b/coralvale/net/node.py
@@ -19,8 +19,8 @@
 from coralvale import interface as api
 from coralvale.interface import Outcome
 from coralvale.net.clock import Clock
-from coralvale.net.config import Address, Config, Place
-from coralvale.net.counter import Counter
+from coralvale.net.config import Address, Config, HostInstance
+from coralvale.net.counter import CounterClient
 from coralvale.net.discovery import Discovery, Endpoint
 from coralvale.net.server import NOT_PASSED_ON, Arrival, Exchange, Server
 from coralvale.net.upstream import Answer, Attempt, Upstreams
@@ -101,7 +101,7 @@
         self.discovery = Discovery(
             config.discovery,
             config.zones,
-            config.kinds,
+            config.machine_types,
             self._listed,
             callers=config.settings.gateways if config.settings.list_on_request else 0,
             grace=config.settings.drain_grace,
@@ -122,7 +122,7 @@
         }
 
     def start(self) -> None:
-        self.discovery.apply(self.config.known, cached=True)
+        self.discovery.apply(self.config.known_hosts, cached=True)
         self.watching = self.loop.create_task(self.discovery.run())
         self.server.start()
         self.discovery.on_answer = self._settle
@@ -146,13 +146,13 @@
             return
         log.info("the counter is now at %s", config.counter)
         if self.counter:
-            self.counter.retire()
+            self.counter.drain()
         self.counter = self._make_counter(config.counter)
 
-    def _make_counter(self, address: Address | None) -> Counter | None:
+    def _make_counter(self, address: Address | None) -> CounterClient | None:
         if address is None:
             return None
-        return Counter(address, self.settings.counter_timeout, self.config.connect_timeout, self.feed)
+        return CounterClient(address, self.settings.counter_timeout, self.config.connect_timeout, self.feed)
 
     def close(self) -> None:
         """Lets go of all sockets, at once."""
@@ -395,7 +395,9 @@
 
     # The list of hosts
 
-    def _listed(self, kind: api.ListKind, servers: tuple[api.HostInfo, ...], stale: list[Place]) -> None:
+    def _listed(
+        self, kind: api.ListKind, servers: tuple[api.HostInfo, ...], stale: list[HostInstance]
+    ) -> None:
         for place in stale:
             self.upstreams.retire(place)
         self.feed(api.HostList(kind, servers))
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -22,17 +22,17 @@
     entry,
     line,
     run,
-    run_jumping,
-    soon,
+    run_in_fake_time,
     until,
+    with_timeout,
 )
 
 from coralvale import interface as api
-from coralvale.net.config import Place
+from coralvale.net.config import HostInstance
 from coralvale.net.discovery import TURNS, Discovery
 from coralvale.net.node import TOLD
 
-News = tuple[api.ListKind, tuple[api.HostInfo, ...], list[Place]]
+News = tuple[api.ListKind, tuple[api.HostInfo, ...], list[HostInstance]]
 
 
 @dataclass
@@ -42,7 +42,7 @@
     news: asyncio.Queue[News] = field(default_factory=asyncio.Queue)
 
     async def told(self) -> News:
-        return await soon(self.news.get())
+        return await with_timeout(self.news.get())
 
 
 @contextlib.asynccontextmanager
@@ -267,7 +267,9 @@
         await agent.start()
         heard = loop.create_future()
 
-        def on_change(kind: api.ListKind, servers: tuple[api.HostInfo, ...], stale: list[Place]) -> None:
+        def on_change(
+            kind: api.ListKind, servers: tuple[api.HostInfo, ...], stale: list[HostInstance]
+        ) -> None:
             if any(s.state is api.HostState.DRAINING for s in servers) and not heard.done():
                 heard.set_result(loop.time())
 
@@ -291,7 +293,7 @@
             nonlocal worst
             worst = max(worst, await test(9.0 + step * 0.37))
 
-        run_jumping(phased())
+        run_in_fake_time(phased())
     assert turn <= worst < TOLD
 
 
