--- a/coralvale/interface.py
+++ b/coralvale/interface.py
@@ -154,7 +154,7 @@
         for i, c in enumerate(self.classes):
             if c.latency_target <= 0 or c.latency_target > c.timeout:
                 raise SettingsError(
-                    f"classes[{i}].latency_target: {c.latency_target} is not within 0 and timeout {c.timeout}"
+                    f"classes[{i}].aim: {c.latency_target} is not within 0 and give_up {c.timeout}"
                 )
             for name in ("latency_target", "timeout", "worth", "key_ttl", "late_worth"):
                 _require(f"classes[{i}].{name}", getattr(c, name), 0.0)
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -87,7 +87,7 @@
         ({"rules__cold_from": "1.5"}, "cold_capacity"),
         ({"classes__0__aim_s": "soon"}, "classes.0.aim_s"),
         ({"classes__0__repeat": "sometimes"}, "classes.0.repeat"),
-        ({"classes__0__aim_s": "9"}, "classes[0].latency_target"),
+        ({"classes__0__aim_s": "9"}, "classes[0].aim"),
         ({"packages__0__per_second": "nan"}, "plans[0].rate"),
         ({"packages__0__most_at_once": "0"}, "plans[0].burst"),
     ],
--- a/tests/test_quota_model.py
+++ b/tests/test_quota_model.py
@@ -347,7 +347,7 @@
         (r"^units = .*", 'units = "weight"', "fam.units: 'weight' is not of one, class"),
         (r"^counter = .*", "counter = 1", "fam.counter: 1 is neither true nor false"),
         (r"^work_ms = .*", "work_ms = true", r"class\[0\].work_ms: True is no number"),
-        (r"^aim_ms = .*", "aim_ms = 5000", r"wrong.toml: classes\[0\].latency_target: 5.0 is not within"),
+        (r"^aim_ms = .*", "aim_ms = 5000", r"wrong.toml: classes\[0\].aim: 5.0 is not within"),
         (r"^\[clients\]", "[customers]", "wrong.toml: clients: a table is needed"),
         (r"\[\[tenant\]\]\nname = .*\nshare = .*", "", "fam.plan: 3 plans for 2 tenants"),
         (r"^price = .*", "price = [1, 2]", r"fam.plan\[0\].price: \[1, 2\] has to be one number"),
