--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -216,9 +216,9 @@
 
 def test_the_check_finds_gateways_that_send_a_cold_server_too_much(monkeypatch: pytest.MonkeyPatch) -> None:
     def one_in_five(gateway: Gateway, now: float) -> object:
-        return gateway.few[0] if gateway.few and gateway.random.random() < 0.2 else None
+        return gateway.cold_subset[0] if gateway.cold_subset and gateway.random.random() < 0.2 else None
 
-    monkeypatch.setattr(Gateway, "_pick_cold", one_in_five)
+    monkeypatch.setattr(Gateway, "_pick_cold_host", one_in_five)
     for gateways in (3, 12):
         falls, _ = play(1000, gateways, "one")
         assert any(fall.breaks_the_rule for fall in falls)
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -80,7 +80,7 @@
 
 def test_work_is_refused_early_when_a_queue_has_built_up() -> None:
     bench = jam(delay=0.9, out=60)
-    assert bench.gateway.refused.counts.get("pressed") or any(
+    assert bench.gateway.refusal_log.counts.get("pressed") or any(
         isinstance(a, api.Log) and "pressed" in a.text for a in bench.seen
     )
 
@@ -110,7 +110,7 @@
             held.append(name)
         if len(held) > 4:
             bench.done(held.pop(0), delay=0.1)
-    hung = len(bench.gateway.hosts["hung"].out)
+    hung = len(bench.gateway.hosts["hung"].outstanding)
     assert hung >= 1
     assert all(isinstance(bench.request(customer=c)[1][0], api.Send) for c in range(900, 910))
 
@@ -147,7 +147,7 @@
         bench.wait(0.5)
         name, _ = bench.request(customer=customer)
         bench.done(name)
-    assert bench.gateway.retries < 2.5
+    assert bench.gateway.retry_budget < 2.5
 
 
 def test_little_own_traffic_is_not_taken_for_a_queue() -> None:
@@ -185,12 +185,12 @@
 
 def test_time_outs_of_impatient_clients_tell_of_the_delay_and_not_of_the_server() -> None:
     bench = Bench()
-    before = bench.gateway.usual[0]
+    before = bench.gateway.class_delays[0]
     for customer in range(40):
         name, actions = bench.request(customer=customer, expires_at=bench.now + 0.5)
         if isinstance(actions[0], api.Send):
             bench.done(name, api.Outcome.TIMEOUT, delay=0.5, request_done=True)
-    assert bench.gateway.usual[0] > 1.5 * before
+    assert bench.gateway.class_delays[0] > 1.5 * before
     assert all(h.failures == 0 for h in bench.gateway.hosts.values())
 
 
@@ -200,7 +200,7 @@
         name, actions = bench.request(customer=len(report) * 10 + bench.serial)
         assert isinstance(actions[0], api.Send)
         bench.done(name, load_report=report)
-    assert all(math.isfinite(h.reported) for h in bench.gateway.hosts.values())
+    assert all(math.isfinite(h.reported_load) for h in bench.gateway.hosts.values())
 
 
 def test_a_gateway_keeps_to_few_servers_and_leaves_the_slow_one() -> None:
@@ -208,12 +208,12 @@
     bench = Bench(servers=tuple(server(f"s{i}") for i in range(60)), gateways=300)
     name, actions = bench.request()
     bench.done(name)
-    slow = next(iter({h.info.id for h in bench.gateway.near}))
+    slow = next(iter({h.info.id for h in bench.gateway.warm_subset}))
     for customer in range(100):
         bench.wait(0.5)
         name, actions = bench.request(customer=customer)
         bench.done(name, delay=3.0 if actions[0].host == slow else 0.1)
-    assert len(bench.gateway.near) == 12
+    assert len(bench.gateway.warm_subset) == 12
     sends = [a.host for a in bench.seen if isinstance(a, api.Send)]
     assert sends.count(slow) <= 5
 
@@ -251,7 +251,7 @@
 
 def near(bench: Bench) -> set[str]:
     bench.request(customer=99999)
-    return {h.info.id for h in bench.gateway.near}
+    return {h.info.id for h in bench.gateway.warm_subset}
 
 
 def test_gateways_share_the_servers_out_evenly() -> None:
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -920,22 +920,22 @@
                 client.send(request(f"lost{number}"))
                 (await host.next()).reset()
                 assert (await client.receive()).status == 503
-                assert not seen.ill(w.node.clock.now(), 1.0) and not seen.retry_at
+                assert not seen.is_unhealthy(w.node.clock.now(), 1.0) and not seen.backoff_until
                 client.send(request(f"well{number}"))
                 (await host.next()).reply(answer())
                 assert (await client.receive()).status == 200
             for number in range(3):
-                assert not seen.retry_at
+                assert not seen.backoff_until
                 client.send(request(f"down{number}"))
                 (await host.next()).reset()
                 assert (await client.receive()).status == 503
-            assert seen.retry_at > w.node.clock.now()
+            assert seen.backoff_until > w.node.clock.now()
         gone = await Peer().start()
         async with world(entry("s-1", gone.port), real=True) as w:
             gone.stop()
             await soon(gone.server.wait_closed())
             assert (await w.ask(request())).status == 503
-            assert w.node.gateway.hosts["s-1"].retry_at > w.node.clock.now()
+            assert w.node.gateway.hosts["s-1"].backoff_until > w.node.clock.now()
         host.stop()
 
     run(test())
--- a/tests/test_quota_faults.py
+++ b/tests/test_quota_faults.py
@@ -9,7 +9,7 @@
 
 from coralvale import interface as api
 from coralvale.admission import IDLE
-from coralvale.logic import TICK
+from coralvale.logic import TIMER_INTERVAL_S
 from coralvale.restrictor import STEP
 from coralvale.shared_quota import MOST_AMOUNT
 
@@ -90,7 +90,7 @@
     names = [bench.ask() for _ in range(20)]
     assert len(bench.open_calls()) == 20
     bench.calls.clear()
-    bench.wait(2 * COUNTER_TIMEOUT + TICK + 0.01)
+    bench.wait(2 * COUNTER_TIMEOUT + TIMER_INTERVAL_S + 0.01)
     assert [name for name in names if name not in bench.out() and not bench.tickets[name].ended] == []
 
 
--- a/tests/test_quota_input.py
+++ b/tests/test_quota_input.py
@@ -11,7 +11,7 @@
 from helpers import PLAN, Bench
 
 from coralvale import interface as api
-from coralvale.logic import TICK
+from coralvale.logic import TIMER_INTERVAL_S
 from coralvale.shared_quota import TRUST_EACH, TRUST_LEAST
 
 GATEWAYS = 1024
@@ -273,7 +273,7 @@
     """One call is about the quota, a second one about the pool of the ceiling, where there is one."""
     bench = QuotaBench()
     names = [bench.request(customer, plan_index=plan, entry_gateways=GATEWAYS)[0] for customer in range(30)]
-    bench.wait(calls * (2 * COUNTER_TIMEOUT + TICK) + 0.01)
+    bench.wait(calls * (2 * COUNTER_TIMEOUT + TIMER_INTERVAL_S) + 0.01)
     assert [n for n in names if not bench.ends[n] and n not in bench.attempts] == []
     bench.finish()
 
@@ -310,7 +310,8 @@
         two, _ = bench.request(plan_index=second, entry_gateways=entries)
         while bench.calls and total is not None:
             bench.counter(total)
-        bench.wait(2 * (2 * COUNTER_TIMEOUT + 2 * TICK) + 0.01)  # two calls each; one number, a tick each
+        # Two calls each; one number, a timer interval each.
+        bench.wait(2 * (2 * COUNTER_TIMEOUT + 2 * TIMER_INTERVAL_S) + 0.01)
         for name in (one, two):
             assert bench.ends[name] == ["Refuse"] or name in bench.out()
         bench.finish()
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -160,7 +160,7 @@
         held.append(name)
         if len(held) > 4:
             bench.done(held.pop(0), delay=0.04)
-    warm_share = bench.gateway.hosts["cold"].warmth(bench.gateway.settings, bench.now)
+    warm_share = bench.gateway.hosts["cold"].capacity_fraction(bench.gateway.settings, bench.now)
     assert 0 < sent["cold"] <= 2 * warm_share * sent["warm"]
 
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -12,7 +12,7 @@
 from net_helpers import Peer, answer, chunk, entry, line, request, run, settings, until, world
 
 from coralvale import interface as api
-from coralvale.logic import FEWEST, MOST, NEAR
+from coralvale.logic import MAX_CANDIDATES, MIN_CANDIDATES, MIN_SUBSET_SIZE
 from coralvale.net.config import parse_config
 from coralvale.net.discovery import Discovery, Watch
 
@@ -73,23 +73,23 @@
     kept, servers = Counter[str](), fleet()
     for index in range(gateways):
         bench = Bench(servers, gateways=gateways, index=index)
-        bench.gateway._sort(bench.now)
-        assert len(bench.gateway.near) == min(SIZE, max(NEAR, 4 * SIZE // gateways))
-        kept.update(host.info.id for host in bench.gateway.near)
+        bench.gateway._classify_hosts(bench.now)
+        assert len(bench.gateway.warm_subset) == min(SIZE, max(MIN_SUBSET_SIZE, 4 * SIZE // gateways))
+        kept.update(host.info.id for host in bench.gateway.warm_subset)
     assert set(kept) == {s.id for s in servers} and max(kept.values()) - min(kept.values()) <= 2
 
     looked_at = 0
 
-    def slowness(now: float) -> float:
+    def decayed_delay_ratio(now: float) -> float:
         nonlocal looked_at
         looked_at += 1
         return 1.0
 
-    for host in bench.gateway.near:
-        host.slowness = slowness  # type: ignore[method-assign]
+    for host in bench.gateway.warm_subset:
+        host.decayed_delay_ratio = decayed_delay_ratio  # type: ignore[method-assign]
     name, actions = bench.request()
     assert any(isinstance(a, api.Send) for a in actions)
-    assert FEWEST <= looked_at <= MOST
+    assert MIN_CANDIDATES <= looked_at <= MAX_CANDIDATES
 
 
 def test_what_a_gateway_keeps_of_a_host_is_small_and_goes_with_it() -> None:
