--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -27,25 +27,23 @@
 )
 
 
-def server(name: str, **more: Any) -> api.HostInfo:
+def host_info(name: str, **more: Any) -> api.HostInfo:
     return api.HostInfo(name, more.pop("state", api.HostState.HEALTHY), **more)
 
 
-def full_list(*servers: api.HostInfo) -> api.HostList:
-    return api.HostList(api.ListKind.FULL, servers)
+def full_list(*hosts: api.HostInfo) -> api.HostList:
+    return api.HostList(api.ListKind.FULL, hosts)
 
 
 class Bench:
     """A gateway with its clock and timers, and short ways to feed it."""
 
-    def __init__(
-        self, servers: tuple[api.HostInfo, ...] | None = None, seed: int = 1, **changes: Any
-    ) -> None:
+    def __init__(self, hosts: tuple[api.HostInfo, ...] | None = None, seed: int = 1, **changes: Any) -> None:
         self.gateway = Gateway(replace(SETTINGS, **changes), seed)
         self.now, self.serial = 100.0, 0
         self.timers: list[tuple[float, int]] = []
         self.seen: list[api.Action] = []
-        self.feed(full_list(*(servers if servers is not None else (server("a"), server("b")))))
+        self.feed(full_list(*(hosts if hosts is not None else (host_info("a"), host_info("b")))))
 
     def feed(self, event: api.Event) -> list[api.Action]:
         actions = self.gateway.handle(self.now, event)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -1,6 +1,6 @@
-"""Cold servers: what all gateways together send to one stays within what the settings allow, and chance.
+"""Cold hosts: what all gateways together send to one stays within what the settings allow, and chance.
 
-Many instances of the module in fake time. A server that has started does `cold_capacity` of its work at
+Many instances of the module in fake time. A host that has started does `cold_capacity` of its work at
 first and is warm after `warm_up_time`; it falls when more is sent within `overload_window` than
 `overload_multiple` times what it can do. N being that many requests, 2 x root of N + 2 more (N under 30: 3 x
 root of N + 3) are put down to chance. The rule is broken by a fall of which over two thirds came from
@@ -19,14 +19,14 @@
 from functools import partial
 
 import pytest
-from helpers import SETTINGS, full_list, server
+from helpers import SETTINGS, full_list, host_info
 
 from coralvale import Gateway
 from coralvale import interface as api
 
-CAPACITY = 10.0  # requests a second that a warm server of scale 1 can do
+CAPACITY = 10.0  # requests a second that a warm host of scale 1 can do
 DELAY = 0.1  # s that one takes
-LOAD = 0.9  # of what all servers can do when they are warm
+LOAD = 0.9  # of what all hosts can do when they are warm
 BUSY = 5.0  # times what another gateway sees comes to one of ten
 COLD = replace(SETTINGS, cold_capacity=0.19, warm_up_time=14.0, overload_multiple=3.0, overload_window=2.0)
 PLAN = api.Plan("open", rate=1e6, burst=1e6)
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request at a server, and whether its gateway had been told of the server's start."""
+    """A request at a host, and whether its gateway had been told of the host's start."""
 
     at: float
     was_told: bool
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fall:
-    """A window in which a cold server got more than the settings allow, and chance."""
+    """A window in which a cold host got more than the settings allow, and chance."""
 
     begin: float
     requests: int
@@ -71,24 +71,24 @@
 
 
 class Fleet:
-    """Gateways and servers on one clock; `sent` holds what each server was sent."""
+    """Gateways and hosts on one clock; `sent` holds what each host was sent."""
 
-    def __init__(self, gateways: int, servers: int, seed: int) -> None:
+    def __init__(self, gateways: int, hosts: int, seed: int) -> None:
         self.random, self.now, self.serial = random.Random(seed), 1000.0, 0
         settings = replace(COLD, gateways=gateways, plans=(PLAN,))
         self.gateways = [Gateway(replace(settings, index=i), seed * 1000 + i) for i in range(gateways)]
         self.weights = [BUSY if i % 10 == 0 else 1.0 for i in range(gateways)]
-        self.servers = {f"s{i}": server(f"s{i}") for i in range(servers)}
-        self.sent: dict[str, list[Arrival]] = {name: [] for name in self.servers}
+        self.hosts = {f"s{i}": host_info(f"s{i}") for i in range(hosts)}
+        self.sent: dict[str, list[Arrival]] = {name: [] for name in self.hosts}
         self.known: list[dict[str, float]] = [{} for _ in range(gateways)]  # starts that each was told of
-        self.failing: dict[str, float] = {}  # servers that answer errors, and until when
+        self.failing: dict[str, float] = {}  # hosts that answer errors, and until when
         self.due: list[tuple[float, int, int, api.Event]] = []
         for i in range(gateways):
             self.tell(i)
 
     def tell(self, gateway: int) -> None:
-        self.known[gateway] = {name: each.started_at for name, each in self.servers.items()}
-        self.feed(gateway, full_list(*self.servers.values()))
+        self.known[gateway] = {name: each.started_at for name, each in self.hosts.items()}
+        self.feed(gateway, full_list(*self.hosts.values()))
 
     def later(self, delay: float, gateway: int, event: api.Event) -> None:
         self.serial += 1
@@ -99,7 +99,7 @@
             if isinstance(action, api.SetTimer):
                 self.later(action.delay, gateway, api.TimerFired(action.token))
             elif isinstance(action, api.Send):
-                was_told = self.known[gateway][action.host] == self.servers[action.host].started_at
+                was_told = self.known[gateway][action.host] == self.hosts[action.host].started_at
                 self.sent[action.host].append(Arrival(self.now, was_told))
                 held = self.gateways[gateway].requests[action.request]
                 fails = self.now < self.failing.get(action.host, 0.0)
@@ -109,7 +109,7 @@
                 self.later(0.01 if fails else DELAY, gateway, done)
 
     def run(self, seconds: float) -> None:
-        until, gap = self.now + seconds, 1 / (LOAD * CAPACITY * len(self.servers))
+        until, gap = self.now + seconds, 1 / (LOAD * CAPACITY * len(self.hosts))
         arrives = self.now
         while (arrives := arrives + self.random.expovariate(1 / gap)) < until:
             while self.due and self.due[0][0] <= arrives:
@@ -122,10 +122,10 @@
 
     def start(self, names: list[str]) -> None:
         for name in names:
-            self.servers[name] = server(name, started_at=self.now)
+            self.hosts[name] = host_info(name, started_at=self.now)
 
     def falls(self, name: str, started: float, chance: Chance = chance) -> list[Fall]:
-        """All windows from the start until the server is warm in which it got more than it bears."""
+        """All windows from the start until the host is warm in which it got more than it bears."""
         arrivals, falls, end = [a for a in self.sent[name] if a.at >= started], list[Fall](), 0
         told = [0]
         for arrival in arrivals:
@@ -143,15 +143,15 @@
 
 
 def play(seed: int, gateways: int, case: str, chance: Chance = chance) -> tuple[list[Fall], int]:
-    """The falls of the servers that started, and how much these were sent."""
-    servers = 24
-    fleet = Fleet(gateways, servers, seed)
+    """The falls of the hosts that started, and how much these were sent."""
+    hosts = 24
+    fleet = Fleet(gateways, hosts, seed)
     fleet.run(4.0)
     started = fleet.now
-    cold = [f"s{i}" for i in range({"half": servers // 2, "all": servers}.get(case, 1))]
+    cold = [f"s{i}" for i in range({"half": hosts // 2, "all": hosts}.get(case, 1))]
     fleet.start(cold)
     if case == "errors":  # what fails elsewhere is tried again, and must not end up there
-        fleet.failing = {f"s{i}": started + 8.0 for i in range(1, servers // 2)}
+        fleet.failing = {f"s{i}": started + 8.0 for i in range(1, hosts // 2)}
     for i in range(gateways):
         if case != "restarted" or i % 2:
             fleet.tell(i)
@@ -181,7 +181,7 @@
 
 @pytest.mark.parametrize("gateways", [3, 6, 12, 20, 30])
 @pytest.mark.parametrize("case", CASES)
-def test_gateways_that_were_told_let_no_cold_server_fall(
+def test_gateways_that_were_told_let_no_cold_host_fall(
     processes: ProcessPoolExecutor, gateways: int, case: str
 ) -> None:
     plays = list(processes.map(partial(play, gateways=gateways, case=case), SEEDS))
@@ -197,7 +197,7 @@
 
 @pytest.mark.parametrize("gateways", [3, 20, 30, 200])
 @pytest.mark.parametrize("case", CASES)
-def test_all_gateways_together_keep_to_what_a_cold_server_bears(gateways: int, case: str) -> None:
+def test_all_gateways_together_keep_to_what_a_cold_host_bears(gateways: int, case: str) -> None:
     """Whoever sent it, and with less put down to chance."""
     falls, sent = play(gateways, gateways, case, narrow_chance)
     assert falls == []
@@ -214,7 +214,7 @@
     assert (first.requests, first.from_told, first.breaks_the_rule) == (60, 45, True)
 
 
-def test_the_check_finds_gateways_that_send_a_cold_server_too_much(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_check_finds_gateways_that_send_a_cold_host_too_much(monkeypatch: pytest.MonkeyPatch) -> None:
     def one_in_five(gateway: Gateway, now: float) -> object:
         return gateway.cold_subset[0] if gateway.cold_subset and gateway.random.random() < 0.2 else None
 
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -336,7 +336,7 @@
 
 def test_requests_that_guards_refuse_leave_nothing_on_the_counter_whether_asked_about_or_not() -> None:
     """One that is asked about stands for others; these give back their units as it does its own."""
-    bench, told, untold = counting(max_units=4.0, servers=()), 0.0, 0.0
+    bench, told, untold = counting(max_units=4.0, hosts=()), 0.0, 0.0
     for customer in range(1000):
         bench.gateway.admission.shared.trust = 1.0
         action = bench.request(customer=customer, entry_gateways=MANY)[1][0]
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -1,16 +1,16 @@
-"""Server health, pressure and what the log tells."""
+"""Host health, pressure and what the log tells."""
 
 import math
 from dataclasses import replace
 
-from helpers import READ, Bench, server
+from helpers import READ, Bench, host_info
 
 from coralvale import interface as api
 
 UNSAFE = replace(READ, idempotency=api.Idempotency.UNSAFE)
 
 
-def test_a_server_without_connections_is_passed_over_and_found_again() -> None:
+def test_a_host_without_connections_is_passed_over_and_found_again() -> None:
     bench = Bench()
     name, actions = bench.request()
     bad = actions[0].host
@@ -20,11 +20,11 @@
         name, actions = bench.request(customer=customer)
         assert actions[0].host == again.host != bad
     bench.wait(9.0)
-    servers = {bench.request(customer=c)[1][0].host for c in range(20, 30)}
-    assert bad in servers
+    hosts = {bench.request(customer=c)[1][0].host for c in range(20, 30)}
+    assert bad in hosts
 
 
-def test_a_silent_server_is_passed_over() -> None:
+def test_a_silent_host_is_passed_over() -> None:
     bench = Bench()
     _, actions = bench.request()
     silent = actions[0].host
@@ -37,9 +37,9 @@
 
 
 def test_no_connection_anywhere_does_not_use_up_the_retry_budget() -> None:
-    """Most of the fleet takes no connection: each request still finds the server that does."""
-    servers = tuple(server(f"s{i}") for i in range(3))
-    bench = Bench(servers=servers, max_attempts=5)
+    """Most of the fleet takes no connection: each request still finds the host that does."""
+    hosts = tuple(host_info(f"s{i}") for i in range(3))
+    bench = Bench(hosts=hosts, max_attempts=5)
     served = 0
     for customer in range(60):
         bench.wait(0.05)
@@ -65,7 +65,7 @@
 
 
 def jam(delay: float, out: int) -> Bench:
-    """Answers take `delay` while `out` requests stay out at two servers."""
+    """Answers take `delay` while `out` requests stay out at two hosts."""
     bench = Bench()
     held: list[str] = []
     for customer in range(400):
@@ -99,9 +99,9 @@
     assert logs == ["refused in 10 s: quota 42"]
 
 
-def test_attempts_on_hung_servers_are_not_taken_for_a_queue() -> None:
-    """A server that answers nothing keeps its attempts for long; the others have room all the same."""
-    bench = Bench(servers=(server("hung"), server("well")), gateways=8)
+def test_attempts_on_hung_hosts_are_not_taken_for_a_queue() -> None:
+    """A host that answers nothing keeps its attempts for long; the others have room all the same."""
+    bench = Bench(hosts=(host_info("hung"), host_info("well")), gateways=8)
     held: list[str] = []
     for customer in range(300):
         bench.wait(0.02)
@@ -118,19 +118,19 @@
 def test_failed_connects_leave_the_retry_budget_to_other_failures() -> None:
     left = {}
     for outcome in (api.Outcome.CONNECT_FAILED, api.Outcome.ERROR):
-        bench = Bench(servers=tuple(server(f"s{i}") for i in range(3)))
+        bench = Bench(hosts=tuple(host_info(f"s{i}") for i in range(3)))
         for customer in range(30):
             bench.wait(0.1)
             name, _ = bench.request(customer=customer)
             for attempt in range(3):
                 bench.done(name, outcome, attempt=attempt)
         left[outcome] = sum(isinstance(a, api.Send) for a in bench.seen)
-    assert left[api.Outcome.CONNECT_FAILED] == 30 * 3  # each server once
+    assert left[api.Outcome.CONNECT_FAILED] == 30 * 3  # each host once
     assert left[api.Outcome.ERROR] <= 30 * 1.2 + 1
 
 
-def test_a_server_back_from_a_pause_is_tried_singly() -> None:
-    bench = Bench(servers=tuple(server(f"s{i}") for i in range(4)))
+def test_a_host_back_from_a_pause_is_tried_singly() -> None:
+    bench = Bench(hosts=tuple(host_info(f"s{i}") for i in range(4)))
     name, actions = bench.request()
     bad = actions[0].host
     bench.done(name, api.Outcome.CONNECT_FAILED)
@@ -152,7 +152,7 @@
 
 def test_little_own_traffic_is_not_taken_for_a_queue() -> None:
     """Two requests a second and three out by chance at one of 300 gateways: no reason to refuse."""
-    bench = Bench(servers=tuple(server(f"s{i}") for i in range(75)), gateways=300)
+    bench = Bench(hosts=tuple(host_info(f"s{i}") for i in range(75)), gateways=300)
     for customer in range(40):
         bench.wait(0.5)
         name, _ = bench.request(customer=customer)
@@ -162,12 +162,12 @@
         assert isinstance(actions[0], api.Send)
 
 
-def test_servers_get_work_by_their_size_where_gateways_are_many() -> None:
-    """A gateway with nothing out must not send all of it to the largest servers."""
-    servers = tuple(server(f"s{i}", scale=1.0 + i % 2) for i in range(20))
+def test_hosts_get_work_by_their_size_where_gateways_are_many() -> None:
+    """A gateway with nothing out must not send all of it to the largest hosts."""
+    hosts = tuple(host_info(f"s{i}", scale=1.0 + i % 2) for i in range(20))
     sent = {1.0: 0, 2.0: 0}
     for seed in range(150):
-        bench = Bench(servers=servers, gateways=150, index=seed, seed=seed)
+        bench = Bench(hosts=hosts, gateways=150, index=seed, seed=seed)
         for customer in range(10):
             name, actions = bench.request(customer=customer)
             bench.done(name)
@@ -183,7 +183,7 @@
     assert [type(a) for a in actions] == [api.Send]
 
 
-def test_time_outs_of_impatient_clients_tell_of_the_delay_and_not_of_the_server() -> None:
+def test_time_outs_of_impatient_clients_tell_of_the_delay_and_not_of_the_host() -> None:
     bench = Bench()
     before = bench.gateway.class_delays[0]
     for customer in range(40):
@@ -203,9 +203,9 @@
     assert all(math.isfinite(h.reported_load) for h in bench.gateway.hosts.values())
 
 
-def test_a_gateway_keeps_to_few_servers_and_leaves_the_slow_one() -> None:
-    """With two requests a second over 60 servers, each would be heard of twice in a minute."""
-    bench = Bench(servers=tuple(server(f"s{i}") for i in range(60)), gateways=300)
+def test_a_gateway_keeps_to_few_hosts_and_leaves_the_slow_one() -> None:
+    """With two requests a second over 60 hosts, each would be heard of twice in a minute."""
+    bench = Bench(hosts=tuple(host_info(f"s{i}") for i in range(60)), gateways=300)
     name, actions = bench.request()
     bench.done(name)
     slow = next(iter({h.info.id for h in bench.gateway.warm_subset}))
@@ -218,9 +218,9 @@
     assert sends.count(slow) <= 5
 
 
-def test_a_lost_attempt_tells_nothing_against_its_server() -> None:
+def test_a_lost_attempt_tells_nothing_against_its_host() -> None:
     """Overtaken by later answers and long overdue it is lost: it keeps nobody waiting, now or later."""
-    bench = Bench(servers=(server("s0"), server("s1")))
+    bench = Bench(hosts=(host_info("s0"), host_info("s1")))
     _, (held, *_) = bench.request(customer=1)
     for customer in range(2, 200, 4):
         names = [bench.request(customer=customer + i)[0] for i in range(4)]
@@ -246,7 +246,7 @@
 
 
 def many(count: int) -> tuple[api.HostInfo, ...]:
-    return tuple(server(f"s{i}") for i in range(count))
+    return tuple(host_info(f"s{i}") for i in range(count))
 
 
 def near(bench: Bench) -> set[str]:
@@ -254,24 +254,24 @@
     return {h.info.id for h in bench.gateway.warm_subset}
 
 
-def test_gateways_share_the_servers_out_evenly() -> None:
-    """Drawn by lot, one server in ten would be kept to by half again as many gateways as the mean."""
-    kept = [near(Bench(servers=many(60), gateways=40, index=i, seed=i)) for i in range(40)]
+def test_gateways_share_the_hosts_out_evenly() -> None:
+    """Drawn by lot, one host in ten would be kept to by half again as many gateways as the mean."""
+    kept = [near(Bench(hosts=many(60), gateways=40, index=i, seed=i)) for i in range(40)]
     counts = [sum(f"s{i}" in some for some in kept) for i in range(60)]
     assert {len(some) for some in kept} == {12}
     assert min(counts) >= 7 and max(counts) <= 9
 
 
 def test_a_change_of_the_list_leaves_most_connections_of_use() -> None:
-    bench = Bench(servers=many(60), gateways=40, index=7)
+    bench = Bench(hosts=many(60), gateways=40, index=7)
     before = near(bench)
     gone = api.HostInfo("s59", api.HostState.GONE)
-    bench.feed(api.HostList(api.ListKind.CHANGES, (gone, server("t0"))))
+    bench.feed(api.HostList(api.ListKind.CHANGES, (gone, host_info("t0"))))
     assert len(near(bench) & before) >= 10
 
 
-def test_a_near_server_that_fails_is_made_up_for_by_another() -> None:
-    bench = Bench(servers=many(60), gateways=40, index=7)
+def test_a_near_host_that_fails_is_made_up_for_by_another() -> None:
+    bench = Bench(hosts=many(60), gateways=40, index=7)
     before = near(bench)
     for customer in range(40):
         name, (send, *_) = bench.request(customer=customer)
@@ -283,8 +283,8 @@
     assert len(near(bench)) == 13 and near(bench) > before
 
 
-def test_a_further_attempt_goes_to_a_near_server() -> None:
-    bench = Bench(servers=many(60), gateways=40, index=7)
+def test_a_further_attempt_goes_to_a_near_host() -> None:
+    bench = Bench(hosts=many(60), gateways=40, index=7)
     some = near(bench)
     for customer in range(20):
         name, actions = bench.request(customer=customer)
--- a/tests/test_meter.py
+++ b/tests/test_meter.py
@@ -2,7 +2,7 @@
 
 import math
 
-from helpers import PLAN, Bench, server
+from helpers import PLAN, Bench, host_info
 
 
 def drive(bench: Bench, seconds: float, rate: float, usage: float | None) -> int:
@@ -75,7 +75,7 @@
 
 
 def test_idle_customers_and_finished_requests_are_forgotten() -> None:
-    bench = Bench(servers=(server("a"), server("b")))
+    bench = Bench(hosts=(host_info("a"), host_info("b")))
     for customer in range(500):
         name, _ = bench.request(customer=customer)
         bench.done(name)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -2,7 +2,7 @@
 
 from dataclasses import replace
 
-from helpers import PLAN, READ, Bench, full_list, server
+from helpers import PLAN, READ, Bench, full_list, host_info
 
 from coralvale import interface as api
 
@@ -27,8 +27,8 @@
     only(actions, api.Refuse)
 
 
-def test_a_request_is_refused_when_no_server_is_known() -> None:
-    bench = Bench(servers=())
+def test_a_request_is_refused_when_no_host_is_known() -> None:
+    bench = Bench(hosts=())
     only(bench.request()[1], api.Refuse)
 
 
@@ -54,7 +54,7 @@
 
 
 def test_a_repeated_outcome_does_not_start_another_attempt() -> None:
-    bench = Bench(servers=tuple(server(f"s{i}") for i in range(4)))
+    bench = Bench(hosts=tuple(host_info(f"s{i}") for i in range(4)))
     name, _ = bench.request()
     only(bench.done(name, api.Outcome.CONNECT_FAILED), api.Send)
     assert bench.done(name, api.Outcome.CONNECT_FAILED) == []
@@ -94,9 +94,9 @@
 
 
 def test_a_keyed_request_that_may_have_run_stays_in_its_group_and_window() -> None:
-    servers = tuple(server(f"s{i}", cell=i % 2) for i in range(8))
-    cells = {s.id: s.cell for s in servers}
-    bench = Bench(servers=servers, classes=(KEYED,))
+    hosts = tuple(host_info(f"s{i}", cell=i % 2) for i in range(8))
+    cells = {s.id: s.cell for s in hosts}
+    bench = Bench(hosts=hosts, classes=(KEYED,))
     name, actions = bench.request()
     (again,) = only(bench.done(name, api.Outcome.ERROR), api.Send)
     assert cells[again.host] == cells[actions[0].host]
@@ -105,7 +105,7 @@
 
 
 def test_a_keyed_request_with_its_group_gone_fails_and_is_not_refused() -> None:
-    bench = Bench(servers=(server("a", cell=1), server("b", cell=2)), classes=(KEYED,))
+    bench = Bench(hosts=(host_info("a", cell=1), host_info("b", cell=2)), classes=(KEYED,))
     name, _ = bench.request()
     assert bench.done(name, api.Outcome.ERROR) == [api.Fail(name)]
 
@@ -120,21 +120,21 @@
 # Drains are kept
 
 
-def test_a_draining_or_gone_server_gets_nothing_new_at_once() -> None:
+def test_a_draining_or_gone_host_gets_nothing_new_at_once() -> None:
     for seed in range(20):
         state = (api.HostState.DRAINING, api.HostState.GONE)[seed % 2]
         bench = Bench(seed=seed)
-        bench.feed(api.HostList(api.ListKind.CHANGES, (server("a", state=state),)))
+        bench.feed(api.HostList(api.ListKind.CHANGES, (host_info("a", state=state),)))
         for _ in range(4):
             name, actions = bench.request()
             assert actions[0].host == "b"
             bench.done(name)
 
 
-def test_a_server_missing_from_a_full_list_is_gone() -> None:
+def test_a_host_missing_from_a_full_list_is_gone() -> None:
     for seed in range(20):
         bench = Bench(seed=seed)
-        bench.feed(full_list(server("b")))
+        bench.feed(full_list(host_info("b")))
         assert bench.request()[1][0].host == "b"
 
 
@@ -146,11 +146,11 @@
     assert api.FollowList() in bench.wait(2.0)
 
 
-# A cold server is not pushed over
+# A cold host is not pushed over
 
 
-def test_a_cold_server_gets_its_budget_and_no_more() -> None:
-    bench = Bench(servers=(server("cold", started_at=99.9), server("warm")))
+def test_a_cold_host_gets_its_budget_and_no_more() -> None:
+    bench = Bench(hosts=(host_info("cold", started_at=99.9), host_info("warm")))
     sent = {"cold": 0, "warm": 0}
     held: list[str] = []
     for i in range(300):  # three seconds at a hundred a second, four of them out at any time
@@ -164,20 +164,20 @@
     assert 0 < sent["cold"] <= 2 * warm_share * sent["warm"]
 
 
-def test_a_server_that_restarts_is_cold_again() -> None:
-    bench = Bench(servers=(server("a"),))
-    bench.feed(api.HostList(api.ListKind.CHANGES, (server("a", started_at=bench.now),)))
+def test_a_host_that_restarts_is_cold_again() -> None:
+    bench = Bench(hosts=(host_info("a"),))
+    bench.feed(api.HostList(api.ListKind.CHANGES, (host_info("a", started_at=bench.now),)))
     sends = [bench.request(customer=i)[1] for i in range(100)]
     assert 10 < sum(isinstance(a[0], api.Send) for a in sends) < 45  # a quarter of its capacity is sure
 
 
 def fleet_sends(
-    servers: tuple[api.HostInfo, ...], gateways: int, each: int, **changes: object
+    hosts: tuple[api.HostInfo, ...], gateways: int, each: int, **changes: object
 ) -> dict[str, int]:
     """What many gateways, each knowing only its own sends, send together within three seconds."""
-    sent = dict.fromkeys((s.id for s in servers), 0)
+    sent = dict.fromkeys((s.id for s in hosts), 0)
     for seed in range(gateways):
-        bench = Bench(servers=servers, gateways=gateways, index=seed, seed=seed, **changes)
+        bench = Bench(hosts=hosts, gateways=gateways, index=seed, seed=seed, **changes)
         for i in range(each):
             bench.wait(3.0 / each)
             name, actions = bench.request(customer=seed * 100 + i)
@@ -187,36 +187,36 @@
     return sent
 
 
-def test_hundreds_of_gateways_do_not_push_over_one_cold_server() -> None:
-    servers = (server("cold", started_at=99.9), *(server(f"w{i}") for i in range(19)))
-    sent = fleet_sends(servers, gateways=300, each=6)
+def test_hundreds_of_gateways_do_not_push_over_one_cold_host() -> None:
+    hosts = (host_info("cold", started_at=99.9), *(host_info(f"w{i}") for i in range(19)))
+    sent = fleet_sends(hosts, gateways=300, each=6)
     even = sum(sent.values()) / 20
     assert 0.15 * even < sent["cold"] < 0.75 * even  # at most 0.48 warm after three seconds
 
 
 def test_a_fleet_that_is_all_cold_gets_no_more_than_its_warmth() -> None:
-    servers = tuple(server(f"c{i}", started_at=99.9) for i in range(10))
-    sent = fleet_sends(servers, gateways=200, each=6)
+    hosts = tuple(host_info(f"c{i}", started_at=99.9) for i in range(10))
+    sent = fleet_sends(hosts, gateways=200, each=6)
     assert 0.2 < sum(sent.values()) / 1200 < 0.55
 
 
-def test_where_most_servers_are_cold_they_get_what_they_can_surely_do() -> None:
+def test_where_most_hosts_are_cold_they_get_what_they_can_surely_do() -> None:
     """36 of 60 are 29% warm: 30% of what the fleet can do, and no more than the rule's half each."""
-    cold = tuple(server(f"c{i}", started_at=99.9) for i in range(36))
-    servers = (*cold, *(server(f"w{i}") for i in range(24)))
-    sent = fleet_sends(servers, gateways=40, each=40, warm_up_time=30.0, overload_multiple=4.0)
+    cold = tuple(host_info(f"c{i}", started_at=99.9) for i in range(36))
+    hosts = (*cold, *(host_info(f"w{i}") for i in range(24)))
+    sent = fleet_sends(hosts, gateways=40, each=40, warm_up_time=30.0, overload_multiple=4.0)
     share = sum(sent[s.id] for s in cold) / sum(sent.values())
     assert 0.27 < share < 0.33
 
 
 def test_an_empty_and_a_shrinking_list_refuse_and_go_on() -> None:
-    bench = Bench(servers=tuple(server(f"s{i}") for i in range(3)))
+    bench = Bench(hosts=tuple(host_info(f"s{i}") for i in range(3)))
     held = [bench.request(customer=i)[0] for i in range(3)]
     bench.feed(full_list())
     only(bench.request(customer=8)[1], api.Refuse)
     for name in held:
         only(bench.done(name, api.Outcome.RESET, request_done=False), api.Refuse)
-    bench.feed(full_list(server("s1")))
+    bench.feed(full_list(host_info("s1")))
     only(bench.request(customer=9)[1], api.Send)
 
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from helpers import Bench, full_list, server
+from helpers import Bench, full_list, host_info
 from net_helpers import Peer, answer, chunk, entry, line, request, run, settings, until, world
 
 from coralvale import interface as api
@@ -20,7 +20,7 @@
 
 
 def fleet() -> tuple[api.HostInfo, ...]:
-    return tuple(server(f"s{i}") for i in range(SIZE))
+    return tuple(host_info(f"s{i}") for i in range(SIZE))
 
 
 @pytest.mark.parametrize("indent", [None, 2])
@@ -37,7 +37,7 @@
 
     async def test() -> None:
         told: list[int] = []
-        discovery = Discovery(("127.0.0.1", 1), (), (), lambda _, servers, __: told.append(len(servers)))
+        discovery = Discovery(("127.0.0.1", 1), (), (), lambda _, hosts, __: told.append(len(hosts)))
         watch = discovery.connection = Watch(discovery)
         names = [f's-{i:08x} "{{[' for i in range(SIZE)]  # brackets in a string are none
         message = {"index": 42, "snapshot": True, "endpoints": [entry(n, 1 + i) for i, n in enumerate(names)]}
@@ -70,13 +70,13 @@
 
 @pytest.mark.parametrize("gateways", [SIZE, 230, 3])
 def test_a_thousand_hosts_are_shared_out_evenly_and_a_choice_looks_at_few(gateways: int) -> None:
-    kept, servers = Counter[str](), fleet()
+    kept, hosts = Counter[str](), fleet()
     for index in range(gateways):
-        bench = Bench(servers, gateways=gateways, index=index)
+        bench = Bench(hosts, gateways=gateways, index=index)
         bench.gateway._classify_hosts(bench.now)
         assert len(bench.gateway.warm_subset) == min(SIZE, max(MIN_SUBSET_SIZE, 4 * SIZE // gateways))
         kept.update(host.info.id for host in bench.gateway.warm_subset)
-    assert set(kept) == {s.id for s in servers} and max(kept.values()) - min(kept.values()) <= 2
+    assert set(kept) == {s.id for s in hosts} and max(kept.values()) - min(kept.values()) <= 2
 
     looked_at = 0
 
@@ -95,7 +95,7 @@
 def test_what_a_gateway_keeps_of_a_host_is_small_and_goes_with_it() -> None:
     bench = Bench(fleet(), gateways=SIZE)
     for round_ in range(3):  # all are replaced each time
-        bench.feed(full_list(*(server(f"{round_}-{i}") for i in range(SIZE))))
+        bench.feed(full_list(*(host_info(f"{round_}-{i}") for i in range(SIZE))))
         bench.request()
         assert len(bench.gateway.hosts) == SIZE
     (host, *_) = bench.gateway.hosts.values()
