--- a/coralvale/health.py
+++ b/coralvale/health.py
@@ -1,4 +1,4 @@
-"""What a gateway knows of one server's load and health, from its own attempts alone."""
+"""Load and health of a host, as one gateway knows them from its own attempts."""
 
 from __future__ import annotations
 
@@ -7,65 +7,80 @@
 
 from coralvale import interface as api
 
-DELAY_HALF_LIFE_S = 10.0  # in which half of what is known of a host's delay is forgotten
-SILENCE_LIMIT = 4.0  # mean delays without a response; by chance one attempt in fifty takes that long
-BROKEN_CONNECTION_THRESHOLD = 3  # in a row without a response, after which the host counts as failing
-LOST_THRESHOLD = 16.0  # mean delays after which an attempt that later ones have overtaken counts as lost
+DELAY_HALF_LIFE_S = 10.0  # of the deviation of a host's delay ratio from 1, while it sends no response
+SILENCE_LIMIT = 4.0  # mean delays without a response: by chance one attempt in fifty takes that long
+BROKEN_CONNECTION_THRESHOLD = 3  # broken connections with no response in between are a failure
+LOST_THRESHOLD = 16.0  # mean delays after which an attempt sent before the host's last response is lost
 
 
 class Host:
-    """What this gateway knows of one server; all of it is computed from `now` when it is used."""
+    """What this gateway knows of one host. Values that change with time are computed when they are used.
+
+    In its methods `mean_delay` is the mean over all classes, in seconds.
+    """
 
     def __init__(self, info: api.HostInfo, now: float) -> None:
         self.info, self.scale = info, max(info.scale, 0.01)
-        self.ring_position = zlib.crc32(info.id.encode())  # on the ring that all gateways see alike
-        self.outstanding: dict[tuple[str, int], float] = {}  # attempts out, oldest first
-        self.delay_ratio, self.last_response_at = 1.0, now  # its delay over the fleet's for the same class
-        self.failures, self.backoff_until = 0.0, 0.0
-        self.broken_connections = 0  # connections that broke since its last answer
-        self.reported_load, self.load_reported_at = 0.0, -math.inf
+        self.ring_position = zlib.crc32(info.id.encode())  # the same at all gateways
+        # When the outstanding attempts were sent, by request id and number, oldest first.
+        self.outstanding: dict[tuple[str, int], float] = {}
+        # Moving average of its delays, each divided by the mean delay of the class.
+        self.delay_ratio, self.last_response_at = 1.0, now
+        self.failures, self.backoff_until = 0.0, 0.0  # at most 4 failures; a success halves them
+        self.broken_connections = 0  # since its last response
+        self.reported_load, self.load_reported_at = 0.0, -math.inf  # requests, from its load reports
 
     def capacity_fraction(self, settings: api.Settings, now: float) -> float:
-        """Share of its full capacity that a server surely has: never slower than evenly over the ramp."""
+        """Share of its full capacity that the host has at least: it warms up linearly or faster."""
         if not self.info.started_at or not settings.warm_up_time:
             return 1.0
         age = max(0.0, now - self.info.started_at) / settings.warm_up_time
         return min(1.0, settings.cold_capacity + (1 - settings.cold_capacity) * age)
 
     def live_attempts(self, now: float, mean_delay: float) -> list[float]:
-        """When the attempts out were sent, but for lost ones: long overdue, and later ones were answered."""
-        lost = now - LOST_THRESHOLD * mean_delay
-        return [at for at in self.outstanding.values() if at >= lost or at >= self.last_response_at]
+        """When the outstanding attempts were sent, leaving out lost ones (see LOST_THRESHOLD)."""
+        lost_before = now - LOST_THRESHOLD * mean_delay
+        return [at for at in self.outstanding.values() if at >= lost_before or at >= self.last_response_at]
 
     def silent_for(self, now: float, mean_delay: float) -> float:
-        """Seconds for which it has left attempts without any answer."""
-        waiting = self.live_attempts(now, mean_delay)
-        return now - max(self.last_response_at, waiting[0]) if waiting else 0.0
+        """Seconds for which there have been outstanding attempts but no response."""
+        sent_at = self.live_attempts(now, mean_delay)
+        return now - max(self.last_response_at, sent_at[0]) if sent_at else 0.0
 
     def decayed_delay_ratio(self, now: float) -> float:
+        """The delay ratio, which approaches 1 the longer ago the last response was."""
         return 1 + (self.delay_ratio - 1) * 0.5 ** ((now - self.last_response_at) / DELAY_HALF_LIFE_S)
 
     def is_unhealthy(self, now: float, mean_delay: float) -> bool:
-        """Stalled, crashed, hung, ageing and refusing servers look alike: no answers in time, or bad ones."""
-        late = self.silent_for(now, mean_delay) * min(
+        """Whether the host gives no responses in time, or bad ones.
+
+        This covers stalled, crashed, hung, ageing and refusing hosts, which cannot be told apart. The more
+        attempts are outstanding, the sooner their silence tells, up to SILENCE_LIMIT attempts; a slow host is
+        given more time.
+        """
+        is_late = self.silent_for(now, mean_delay) * min(
             len(self.outstanding), SILENCE_LIMIT
         ) > SILENCE_LIMIT * mean_delay * max(1.0, self.delay_ratio)
-        # After a failure the host gets one attempt at a time.
-        return late or now < self.backoff_until or (self.failures >= 1 and bool(self.outstanding))
+        # When the backoff of a failing host is over, it gets one attempt at a time.
+        return is_late or now < self.backoff_until or (self.failures >= 1 and bool(self.outstanding))
 
     def record_failure(self, now: float, backoff: float) -> None:
+        """Takes note of a failure; `backoff` is in seconds and doubles with each recent failure."""
         self.backoff_until = max(self.backoff_until, now + backoff * 2**self.failures)
         self.failures = min(self.failures + 1, 4)
 
     def record_broken_connection(self, now: float, backoff: float) -> None:
-        """A lost connection is no lost server: idle limits, resets on the way and single faults break some.
+        """Takes note of an established connection that broke; several in a row are a failure of the host.
 
-        A server that dies breaks all that is out at once, or takes no new connection: that is `failed`. This
-        does harm where one resets all that it is sent but is sent little: it has cost three attempts by then.
+        A single one is not: idle timeouts, resets on the path and single faults break connections to sound
+        hosts. A host that crashes breaks all its connections at once, or accepts no new ones, which is a
+        failure in itself. A host that resets every request but gets few of them spoils three before it is
+        avoided.
         """
         self.broken_connections += 1
         if self.broken_connections >= BROKEN_CONNECTION_THRESHOLD:
             self.record_failure(now, backoff)
 
     def record_response(self, now: float) -> None:
+        """Takes note of any response of the host, also of one that reports an error."""
         self.last_response_at, self.broken_connections = now, 0
--- a/coralvale/logic.py
+++ b/coralvale/logic.py
@@ -1,6 +1,7 @@
-"""All decisions of the gateway. The types it takes and gives are in coralvale/interface.py.
+"""All decisions of the gateway. Its events and actions are defined in coralvale/interface.py.
 
-Path of a request: admission by its customer's quota, the guards, the customer's ceiling, a server.
+A new request passes these steps in order: the customer's quota, the checks before sending (open limit, time
+left, overload), the customer's ceiling, the choice of a host.
 """
 
 from __future__ import annotations
@@ -27,44 +28,45 @@
 )
 
 TIMER_INTERVAL_S = 0.1  # well under any delay that a client would notice
-HOST_BACKOFF_S = 0.5  # how long a failing host is avoided, doubled for each further failure, up to four times
+HOST_BACKOFF_S = 0.5  # for which a failing host is avoided; doubled for each recent failure, up to four times
 RETRY_BUDGET_RATIO = 0.2  # retries earned by each request: a broad failure must not double the load
-RETRY_BUDGET_LIMIT_S = 0.5  # s of this gateway's own throughput that the saved retry budget may equal
-MAX_WAIT_FRACTION = 0.7  # of the time left to answer in time that the expected wait may take
-MAX_WAIT_MULTIPLE = 2.5  # baseline delays that a request may wait: a longer queue adds no throughput
+RETRY_BUDGET_LIMIT_S = 0.5  # the saved budget is at most this much of the throughput, plus one retry
+MAX_WAIT_FRACTION = 0.7  # of the time left for a response in time: the longest acceptable wait
+MAX_WAIT_MULTIPLE = 2.5  # baseline delays, the longest acceptable wait too: a longer queue adds no throughput
 ASSUMED_HOST_CONCURRENCY = 4.0  # requests that a host of any size is assumed to process without a queue
-UNHEALTHY_PENALTY = 4.0  # factor on the expected wait at an unhealthy host; most of a fleet may be unhealthy
-MIN_SUBSET_SIZE = 12  # hosts; larger subsets would give too few responses from each to judge it by
+UNHEALTHY_PENALTY = 4.0  # factor on the expected wait at an unhealthy host
+MIN_SUBSET_SIZE = 12  # hosts; few enough for a gateway with little traffic to learn the health of each
 COLD_OVERLOAD_FRACTION = 0.5  # of `overload_multiple`, up to which a cold host may be loaded
-MIN_CANDIDATES = 4  # hosts drawn and compared for a request; more where few gateways share the fleet
+MIN_CANDIDATES = 4  # hosts drawn and compared for a request, and warm hosts in a subset
 MAX_CANDIDATES = 64  # the best of 64 hosts is as good as the best of a thousand
-QUOTA_RETRY_AFTER_FRACTION = 0.25  # of the latency target: a later retry after a quota refusal is too late
-EWMA_WEIGHT = 0.05  # of the newest sample; a mean over about 20 samples
-MIN_TIMEOUT_MULTIPLE = 5.0  # mean delays that an attempt is given at least; one in a hundred takes longer
+QUOTA_RETRY_AFTER_FRACTION = 0.25  # of the latency target: longest Retry-After that leaves time for a retry
+EWMA_WEIGHT = 0.05  # of the newest sample: an average over about 20 samples, accurate to a fifth
+MIN_TIMEOUT_MULTIPLE = 5.0  # mean delays that an attempt gets at least: one in a hundred takes longer
 RETRY_RESERVE_MULTIPLE = 3.0  # mean delays before the latency target that are reserved for a retry
-MIN_RETRY_RESERVE_S = 0.02  # a loaded gateway may notice a timeout this much late
+MIN_RETRY_RESERVE_S = 0.02  # reserved at least: a loaded gateway may notice a timeout this much late
+# Outcomes after which the request has surely not run at the host.
 NOT_RUN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
 class Gateway:
-    """The decisions of one gateway; `handle` takes an event and returns the actions it calls for."""
+    """The decisions of one gateway; `handle` takes an event and returns the actions to perform."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.settings, self.random = settings, random.Random(seed)
-        self.hosts: dict[str, Host] = {}
-        self.warm_hosts, self.cold_hosts = list[Host](), list[Host]()
-        self.warm_subset, self.cold_subset = list[Host](), list[Host]()  # those in the subset
-        self.classify_at = -math.inf  # when a cold server becomes warm
-        self.busy_hosts: dict[Host, None] = {}  # servers with attempts out
-        self.requests: dict[str, PendingRequest] = {}
-        self.class_delays = [
-            c.latency_target / 5 for c in settings.classes
-        ]  # delay of a class, learned from answers
-        self.baseline_delays = list(self.class_delays)  # the lowest that the usual delay has lately been
-        self.mean_delay = sum(self.class_delays) / len(self.class_delays)
-        self.throughput = EventRate(EWMA_WEIGHT)
-        self.retry_budget = 1.0
+        self.hosts: dict[str, Host] = {}  # by id
+        self.warm_hosts, self.cold_hosts = list[Host](), list[Host]()  # the healthy ones of the host list
+        self.warm_subset, self.cold_subset = list[Host](), list[Host]()  # those that this gateway uses
+        self.classify_at = -math.inf  # when the next cold host becomes warm
+        self.busy_hosts: dict[Host, None] = {}  # an ordered set: hosts with outstanding attempts
+        self.requests: dict[str, PendingRequest] = {}  # by id
+        # Exponentially weighted moving average of the delay in s, by class; starts with a guess.
+        self.class_delays = [c.latency_target / 5 for c in settings.classes]
+        self.baseline_delays = list(self.class_delays)  # recent minimum of each of them
+        self.mean_delay = sum(self.class_delays) / len(self.class_delays)  # over all classes
+        self.throughput = EventRate(EWMA_WEIGHT)  # successful attempts a second
+        self.retry_budget = 1.0  # retries that may be sent now
         self.admission = Admission(settings, self.random)
+        # When the leak rates and the subset are next updated, and the host list is asked for again (0: not).
         self.next_step_at, self.list_retry_at = 0.0, 0.0
         self.refusal_log, self.actions = RefusalLog(interval=10.0), list[api.Action]()
         self.handlers: dict[type, Any] = {
@@ -84,11 +86,11 @@
             self.actions.append(api.SetTimer(0, TIMER_INTERVAL_S))
             if self.settings.list_on_request:
                 self.actions.append(api.FollowList())
-        if answer := self.handlers.get(type(event)):
-            answer(now, event)
+        if handler := self.handlers.get(type(event)):
+            handler(now, event)
         return self.actions
 
-    # A request comes: admission, the guards, the ceiling, a server
+    # New requests: quota, checks before sending, ceiling, choice of a host
 
     def _on_request(self, now: float, request: api.Request) -> None:
         self.settings.check(request)
@@ -103,7 +105,7 @@
             self._apply_decision(now, decision)
 
     def _apply_decision(self, now: float, decision: Decision) -> None:
-        """Carries on with what admission has decided; if it is pending, the counter's reply will tell."""
+        """Acts on a decision of admission; a pending one is taken up again at the counter's reply."""
         self.actions += decision.actions
         if isinstance(decision, Refused):
             self._refuse(decision)
@@ -111,7 +113,7 @@
             self._dispatch(now, decision)
 
     def _dispatch(self, now: float, admitted: Admitted) -> None:
-        """Sends a request that is within its quota, if guards and ceiling let it pass."""
+        """Sends a request that is within its quota, if it passes the other checks and a host is found."""
         reservation = admitted.reservation
         request = reservation.request
         if refused := self._check_before_send(now, request, reservation.restrictor):
@@ -131,53 +133,59 @@
         return self._send(now, pending, host)
 
     def _check_before_send(self, now: float, request: api.Request, restrictor: Restrictor) -> Refused | None:
-        """Why a request that is within its quota is refused all the same, and for how long."""
-        usual = self.class_delays[request.class_index]
+        """Returns a refusal if a request that is within its quota must not be sent now, otherwise None."""
+        delay = self.class_delays[request.class_index]
         if restrictor.open_full():
-            return Refused(request, Reason.OPEN_LIMIT, usual)
-        if request.expires_at - now < usual / 2:  # an answer would hardly come in time
-            return Refused(request, Reason.TOO_LATE, usual)
+            return Refused(request, Reason.OPEN_LIMIT, delay)
+        if request.expires_at - now < delay / 2:  # a response would hardly arrive in time
+            return Refused(request, Reason.TOO_LATE, delay)
         if wait := self._excess_wait(now, request):
             return Refused(request, Reason.OVERLOAD, wait)
         return None
 
     def _excess_wait(self, now: float, request: api.Request) -> float:
-        """Seconds by which the expected wait (Little's law; one more at the mean delay) is over what may be.
+        """Seconds by which the expected wait exceeds the longest acceptable one, 0 if it does not.
+
+        By Little's law the wait is the number of outstanding attempts divided by the throughput. This request
+        counts as one more attempt, and as one more response per mean delay.
 
-        Nought while less is out than the fleet carries without a queue: refusing does not help then.
+        The result is also 0 if the delay is below half of the acceptable wait, and if this gateway's share of
+        the hosts can process the outstanding attempts without a queue: refusing would not shorten the delay.
         """
-        usual, aim = (
+        delay, target = (
             self.class_delays[request.class_index],
             self.settings.classes[request.class_index].latency_target,
         )
-        most = min(
-            MAX_WAIT_FRACTION * min(aim, request.expires_at - now),
+        max_wait = min(
+            MAX_WAIT_FRACTION * min(target, request.expires_at - now),
             MAX_WAIT_MULTIPLE * self.baseline_delays[request.class_index],
         )
         counts = {h: len(h.live_attempts(now, self.mean_delay)) for h in self.busy_hosts}
-        well = [
-            n
-            for h, n in counts.items()
-            if now >= h.backoff_until
-            and h.silent_for(now, self.mean_delay) <= SILENCE_LIMIT * self.mean_delay
+        responsive = [
+            count
+            for host, count in counts.items()
+            if now >= host.backoff_until
+            and host.silent_for(now, self.mean_delay) <= SILENCE_LIMIT * self.mean_delay
         ]
-        if 2 * len(well) < len(self.busy_hosts):  # most of a fleet does not hang by chance: that is a jam
-            well = list(counts.values())
-        rate, servers = (
+        # So many hosts do not hang at once by chance: they are overloaded, and their attempts count as well.
+        if 2 * len(responsive) < len(self.busy_hosts):
+            responsive = list(counts.values())
+        rate, hosts = (
             self.throughput.rate(now),
-            len(self.warm_hosts) + len(self.cold_hosts) - len(self.busy_hosts) + len(well),
+            len(self.warm_hosts) + len(self.cold_hosts) - len(self.busy_hosts) + len(responsive),
         )
-        wait = (sum(well) + 1) / (rate + 1 / self.mean_delay)
-        # Answers late in spite of the forecast (others' load, thrashing servers, work given up) tighten both.
-        tight = min(1.0, most / usual)
+        wait = (sum(responsive) + 1) / (rate + 1 / self.mean_delay)
+        # If responses take longer than the wait predicts (load from other gateways, thrashing hosts, work on
+        # abandoned requests), both the assumed concurrency and the acceptable wait are lowered.
+        tightening = min(1.0, max_wait / delay)
         if (
-            usual < most / 2
-            or wait * rate < ASSUMED_HOST_CONCURRENCY * tight * servers / self.settings.gateways
+            delay < max_wait / 2
+            or wait * rate < ASSUMED_HOST_CONCURRENCY * tightening * hosts / self.settings.gateways
         ):
             return 0.0
-        return max(0.0, wait - most * tight)
+        return max(0.0, wait - max_wait * tightening)
 
-    # Servers and their health
+    # Hosts: the host list, the subset, the choice for an attempt
 
     def _on_host_list(self, now: float, event: api.HostList) -> None:
         if event.kind is api.ListKind.FAILED:
@@ -195,20 +203,21 @@
         self.hosts, self.classify_at = hosts, -math.inf
 
     def _classify_hosts(self, now: float) -> None:
-        """Parts warm servers from cold ones when the list has changed or a cold one has become warm."""
+        """Splits the healthy hosts into warm and cold, when the list has changed or one has become warm."""
         if now >= self.classify_at:
-            well = [h for h in self.hosts.values() if h.info.state is api.HostState.HEALTHY]
-            self.warm_hosts = [h for h in well if h.capacity_fraction(self.settings, now) >= 1]
-            self.cold_hosts = [h for h in well if h.capacity_fraction(self.settings, now) < 1]
-            ends = [h.info.started_at + self.settings.warm_up_time for h in self.cold_hosts]
-            self.classify_at = min(ends, default=math.inf)
+            healthy = [h for h in self.hosts.values() if h.info.state is api.HostState.HEALTHY]
+            self.warm_hosts = [h for h in healthy if h.capacity_fraction(self.settings, now) >= 1]
+            self.cold_hosts = [h for h in healthy if h.capacity_fraction(self.settings, now) < 1]
+            warm_at = [h.info.started_at + self.settings.warm_up_time for h in self.cold_hosts]
+            self.classify_at = min(warm_at, default=math.inf)
             self._choose_subset()
 
     def _choose_subset(self) -> None:
-        """Chooses the servers to keep to: a stretch of the ring that all gateways share out evenly.
+        """Chooses the subset of hosts that this gateway uses: a section of the ring of all hosts.
 
-        Drawn by lot, some servers would be kept to by twice as many gateways as others, and each new draw
-        would open connections to all of them. Those that fail are tried on, but do not count.
+        The sections of the gateways start at even distances, so every host is in about as many subsets. If
+        subsets were drawn at random, some hosts would be in twice as many as others, and each new draw would
+        open connections to all its hosts. Failing hosts stay in the subset but do not count towards its size.
         """
         ring = sorted(self.warm_hosts + self.cold_hosts, key=lambda h: h.ring_position)
         size = max(MIN_SUBSET_SIZE, 4 * len(ring) // self.settings.gateways)
@@ -221,62 +230,72 @@
             (self.warm_subset if host in self.warm_hosts else self.cold_subset).append(host)
 
     def _pick_cold_host(self, now: float) -> Host | None:
-        """By lot, a cold server gets a part of own first attempts by its surest warmth."""
-        # However many others are cold as well, that keeps far from what the rule on cold servers allows. No
-        # short queue or saved credit counts, so hundreds of gateways add up to that share and no more.
-        shares = [h.scale * h.capacity_fraction(self.settings, now) for h in self.cold_subset]
-        near = sum(h.scale for h in self.warm_subset)
-        most = (near + sum(h.scale for h in self.cold_subset)) / max(
+        """Draws a cold host for a first attempt, by its present capacity; None leaves it to a warm host."""
+        # However many hosts are cold, a load that the subset could bear if all of it were warm gives a cold
+        # host at most COLD_OVERLOAD_FRACTION of what would overload it, or its present capacity if that is
+        # more. The draw ignores queue lengths and saves up no credit, so the shares of hundreds of gateways add
+        # up to no more than that.
+        capacities = [h.scale * h.capacity_fraction(self.settings, now) for h in self.cold_subset]
+        warm_capacity = sum(h.scale for h in self.warm_subset)
+        min_total = (warm_capacity + sum(h.scale for h in self.cold_subset)) / max(
             1.0, COLD_OVERLOAD_FRACTION * self.settings.overload_multiple
         )
-        lot = self.random.random() * max(most, near + sum(shares))
-        for host, share in zip(self.cold_subset, shares, strict=True):
-            if (lot := lot - share) < 0:
+        draw = self.random.random() * max(min_total, warm_capacity + sum(capacities))
+        for host, capacity in zip(self.cold_subset, capacities, strict=True):
+            if (draw := draw - capacity) < 0:
                 return None if host.is_unhealthy(now, self.mean_delay) else host
         return None
 
     def _pick_host(self, now: float, pending: PendingRequest | None = None) -> Host | None:
-        """Of some near servers drawn by lot, against herding, the one with the least expected wait."""
+        """The warm host with the shortest expected wait among some drawn at random.
+
+        The draw keeps gateways from all choosing the same host (herding). `pending` is given for a retry.
+        """
         pool = self.warm_subset
-        if pending:  # those that are near have a connection
+        if pending:  # hosts of the subset come first: there are connections to them
             pool = [h for h in self.warm_subset if self._may_retry_on(now, pending, h)]
             pool = pool or [h for h in self.warm_hosts if self._may_retry_on(now, pending, h)]
         drawn = min(MAX_CANDIDATES, max(MIN_CANDIDATES, 4 * len(self.warm_hosts) // self.settings.gateways))
         if drawn < len(pool):
             pool = self.random.choices(pool, [h.scale for h in pool], k=drawn)
-        best, least = None, math.inf
+        best, min_wait = None, math.inf
         for host in pool:
-            others = max(0.0, host.reported_load) if now - host.load_reported_at < QUIET / 2 else 0.0
-            wait = (1 + (len(host.outstanding) + others) / host.scale) * host.decayed_delay_ratio(now)
+            reported = max(0.0, host.reported_load) if now - host.load_reported_at < QUIET / 2 else 0.0
+            wait = (1 + (len(host.outstanding) + reported) / host.scale) * host.decayed_delay_ratio(now)
             wait *= 1 + 0.1 * self.random.random() + (0.02 if host.info.zone != self.settings.zone else 0)
-            # Passing over most of a fleet would drown the rest, so ill ones are put last, not left out.
+            # Unhealthy hosts rank lower but are not excluded: if most are unhealthy, that would overload the
+            # rest.
             if (
                 wait := wait * UNHEALTHY_PENALTY if host.is_unhealthy(now, self.mean_delay) else wait
-            ) < least:
-                best, least = host, wait
+            ) < min_wait:
+                best, min_wait = host, wait
         return best
 
     def _may_retry_on(self, now: float, pending: PendingRequest, host: Host) -> bool:
-        """Whether a further attempt may go to this server: never to one tried, and within the key's group."""
-        tried = any(a.host.info.id == host.info.id for a in pending.attempts)
+        """Whether a retry may go to this host.
+
+        No host is tried twice. A keyed request that may have run may only go to hosts that recognise its key,
+        and only while they remember it; an unsafe request that may have run may not be retried at all.
+        """
+        was_tried = any(a.host.info.id == host.info.id for a in pending.attempts)
         first, cls = pending.may_have_run, self.settings.classes[pending.request.class_index]
-        if tried or first is None or cls.idempotency is Idempotency.SAFE:
-            return not tried
+        if was_tried or first is None or cls.idempotency is Idempotency.SAFE:
+            return not was_tried
         if cls.idempotency is Idempotency.UNSAFE or now >= first.sent_at + cls.key_ttl:
             return False
         if cls.dedup_scope is api.DedupScope.ZONE:
             return host.info.zone == first.host.info.zone
         return cls.dedup_scope is api.DedupScope.ALL or host.info.cell == first.host.info.cell
 
-    # Attempts and answers
+    # Attempts and their outcomes
 
     def _refuse(self, refused: Refused) -> None:
         self.refusal_log.record(refused.reason)
         wait, cls = refused.wait, self.settings.classes[refused.request.class_index]
-        if refused.reason in QUOTA_REASONS:  # another of the customer's gateways may have room, and in time
+        if refused.reason in QUOTA_REASONS:  # another gateway may admit the retry, if it comes in time
             wait = min(wait, cls.latency_target * QUOTA_RETRY_AFTER_FRACTION)
-        advice = min(wait, self.settings.retry_after_limit)
-        self.actions.append(api.Refuse(refused.request.id, advice))
+        retry_after = min(wait, self.settings.retry_after_limit)
+        self.actions.append(api.Refuse(refused.request.id, retry_after))
 
     def _send(self, now: float, pending: PendingRequest, host: Host) -> None:
         host.outstanding[pending.request.id, len(pending.attempts)] = now
@@ -286,30 +305,31 @@
         self.actions.append(api.Send(pending.request.id, host.info.id, self._attempt_deadline(now, pending)))
 
     def _attempt_deadline(self, now: float, pending: PendingRequest) -> float:
-        """How long the newest attempt may take: a late one leaves time for another, if there may be one."""
-        cls, usual = (
+        """When the newest attempt times out: as the request expires, or earlier to leave time for a retry."""
+        cls, delay = (
             self.settings.classes[pending.request.class_index],
             self.class_delays[pending.request.class_index],
         )
-        last = min(pending.request.expires_at, pending.arrived_at + cls.latency_target) - max(
-            RETRY_RESERVE_MULTIPLE * usual, MIN_RETRY_RESERVE_S
+        early = min(pending.request.expires_at, pending.arrived_at + cls.latency_target) - max(
+            RETRY_RESERVE_MULTIPLE * delay, MIN_RETRY_RESERVE_S
         )
-        again = cls.idempotency is Idempotency.SAFE and not cls.late_worth
-        again = (
-            again
+        may_retry = cls.idempotency is Idempotency.SAFE and not cls.late_worth
+        may_retry = (
+            may_retry
             and len(pending.attempts) < self.settings.max_attempts
-            and last - now >= MIN_TIMEOUT_MULTIPLE * usual
+            and early - now >= MIN_TIMEOUT_MULTIPLE * delay
         )
-        return last if again else pending.request.expires_at
+        return early if may_retry else pending.request.expires_at
 
-    def _close_request(self, name: str, pending: PendingRequest) -> None:
+    def _close_request(self, request_id: str, pending: PendingRequest) -> None:
         pending.is_open = False
         if all(a.done for a in pending.attempts):
-            self.requests.pop(name, None)
-            if not pending.was_sent:  # the client left first, or its time was up: it has taken nothing
+            self.requests.pop(request_id, None)
+            if not pending.was_sent:  # the client left or the time ran out first: no host has had the request
                 pending.reservation.release()
 
     def _on_request_closed(self, now: float, event: api.RequestAbandoned | api.StreamStarted) -> None:
+        """The client has left or a streamed response has started: no further attempt is sent."""
         self.admission.leave(event.request)
         if pending := self.requests.get(event.request):
             self._close_request(event.request, pending)
@@ -332,7 +352,7 @@
         if event.usage is not None and 0 <= event.usage < math.inf:
             restrictor.hear(now, event.usage)
         plausible = 0 < (event.units or 0) <= self.settings.max_units and event.units < math.inf
-        if self.settings.post_paid and plausible:  # corrects the guess
+        if self.settings.post_paid and plausible:  # replaces the estimate
             pending.reservation.correct(event.units)
         self._record_outcome(now, pending.request.class_index, attempt.host, event)
         if event.request_done or not pending.is_open:
@@ -341,14 +361,14 @@
             pending.may_have_run = attempt
         self._classify_hosts(now)
         if self._should_retry(now, pending, event.outcome) and (host := self._pick_host(now, pending)):
-            # No connection costs a server nothing; other failures must not double the load.
+            # A failed connect put no load on a host, so the retry is not charged to the budget.
             self.retry_budget -= event.outcome is not Outcome.CONNECT_FAILED
             return self._send(now, pending, host)
         cls = self.settings.classes[pending.request.class_index]
-        harmless = cls.idempotency is Idempotency.SAFE or (
+        is_repeatable = cls.idempotency is Idempotency.SAFE or (
             cls.idempotency is Idempotency.KEYED and cls.dedup_scope is api.DedupScope.ALL
         )
-        if harmless or pending.may_have_run is None:
+        if is_repeatable or pending.may_have_run is None:
             self._refuse(
                 Refused(
                     pending.request, Reason.ATTEMPTS_USED_UP, self.class_delays[pending.request.class_index]
@@ -359,16 +379,19 @@
         self._close_request(event.request, pending)
 
     def _should_retry(self, now: float, pending: PendingRequest, outcome: Outcome) -> bool:
-        cls, end = self.settings.classes[pending.request.class_index], pending.request.expires_at
-        end = end if cls.late_worth else min(end, pending.arrived_at + cls.latency_target)
-        in_time = now + self.class_delays[pending.request.class_index] / 2 < end
-        paid = self.retry_budget >= 1 or outcome is Outcome.CONNECT_FAILED
-        return in_time and paid and len(pending.attempts) < self.settings.max_attempts
+        """Whether a retry is in time, within the retry budget and within the limit on attempts."""
+        cls, deadline = self.settings.classes[pending.request.class_index], pending.request.expires_at
+        deadline = deadline if cls.late_worth else min(deadline, pending.arrived_at + cls.latency_target)
+        in_time = now + self.class_delays[pending.request.class_index] / 2 < deadline
+        in_budget = self.retry_budget >= 1 or outcome is Outcome.CONNECT_FAILED
+        return in_time and in_budget and len(pending.attempts) < self.settings.max_attempts
 
     def _record_outcome(self, now: float, cls: int, host: Host, event: api.AttemptDone) -> None:
+        """Updates the delays, the host's health and its reported load by the outcome of an attempt."""
         if event.outcome is Outcome.OK:
             self.throughput.record(now)
-            # What is seldom heard of a server counts for more: one that grows slower is left before it dies.
+            # The longer ago the last response, the more this one counts: a host that gets slower is avoided
+            # before it fails, even if this gateway sends it little.
             weight, host.delay_ratio = (
                 max(0.1, 1 - 0.5 ** ((now - host.last_response_at) / DELAY_HALF_LIFE_S)),
                 host.decayed_delay_ratio(now),
@@ -378,15 +401,17 @@
             host.failures = 0.0 if host.failures < 1 else host.failures / 2
             self.baseline_delays[cls] = min(self.baseline_delays[cls], self.class_delays[cls])
             self.class_delays[cls] += EWMA_WEIGHT * (event.delay - self.class_delays[cls])
-        elif event.outcome is Outcome.TIMEOUT:  # the delay is at least this; hung servers must not tell much
+        elif event.outcome is Outcome.TIMEOUT:
+            # The true delay is longer than this; the increase is bounded, as the host may just hang.
             self.class_delays[cls] += EWMA_WEIGHT * min(
                 max(0.0, event.delay - self.class_delays[cls]), self.class_delays[cls]
             )
-            # Else only the patience was short, or, where others were answered since, the connection was bad.
-            patient = event.delay >= min(
+            # The host has failed only if the attempt had enough time and the host has sent no response since the
+            # attempt began; if it has, only the connection was bad.
+            had_enough_time = event.delay >= min(
                 self.settings.classes[cls].latency_target, LOST_THRESHOLD * self.class_delays[cls]
             )
-            if patient and host.last_response_at < now - event.delay:
+            if had_enough_time and host.last_response_at < now - event.delay:
                 host.record_failure(now, HOST_BACKOFF_S)
         elif event.outcome not in (Outcome.CANCELLED, Outcome.NOT_SENT):
             if event.connection_broken:
@@ -397,8 +422,8 @@
             else:
                 host.record_failure(now, HOST_BACKOFF_S)
         self.mean_delay = sum(self.class_delays) / len(self.class_delays)
-        told = zip(self.settings.load_report_fields, event.load_report, strict=False)
-        if loads := [v for name, v in told if name in ("inflight", "queue") and math.isfinite(v)]:
+        report = zip(self.settings.load_report_fields, event.load_report, strict=False)
+        if loads := [v for name, v in report if name in ("inflight", "queue") and math.isfinite(v)]:
             host.reported_load, host.load_reported_at = max(loads), now
 
     def _on_timer(self, now: float, event: api.TimerFired) -> None:
@@ -408,7 +433,8 @@
         if self.list_retry_at and now >= self.list_retry_at:
             self.list_retry_at = 0.0
             self.actions.append(api.FollowList() if self.settings.list_on_request else api.FetchList())
-        self.baseline_delays = [c * (1 + 0.01 * TIMER_INTERVAL_S) for c in self.baseline_delays]
+        # The baselines rise by 1% a second, so that they follow a lasting change.
+        self.baseline_delays = [d * (1 + 0.01 * TIMER_INTERVAL_S) for d in self.baseline_delays]
         for reply in self.admission.overdue(now):
             self._on_counter_reply(now, reply)
         if now >= self.next_step_at:
