--- a/coralvale/logic.py
+++ b/coralvale/logic.py
@@ -233,8 +233,8 @@
         """Draws a cold host for a first attempt, by its present capacity; None leaves it to a warm host."""
         # However many hosts are cold, a load that the subset could bear if all of it were warm gives a cold
         # host at most COLD_OVERLOAD_FRACTION of what would overload it, or its present capacity if that is
-        # more. The draw ignores queue lengths and saves up no credit, so the shares of hundreds of gateways add
-        # up to no more than that.
+        # more. The draw ignores queue lengths and saves up no credit, so the shares of hundreds of gateways
+        # add up to no more than that.
         capacities = [h.scale * h.capacity_fraction(self.settings, now) for h in self.cold_subset]
         warm_capacity = sum(h.scale for h in self.warm_subset)
         min_total = (warm_capacity + sum(h.scale for h in self.cold_subset)) / max(
@@ -406,8 +406,8 @@
             self.class_delays[cls] += EWMA_WEIGHT * min(
                 max(0.0, event.delay - self.class_delays[cls]), self.class_delays[cls]
             )
-            # The host has failed only if the attempt had enough time and the host has sent no response since the
-            # attempt began; if it has, only the connection was bad.
+            # The host has failed only if the attempt had enough time and the host has sent no response since
+            # the attempt began; if it has, only the connection was bad.
             had_enough_time = event.delay >= min(
                 self.settings.classes[cls].latency_target, LOST_THRESHOLD * self.class_delays[cls]
             )
