--- a/coralvale/health.py
+++ b/coralvale/health.py
@@ -26,7 +26,10 @@
         self.outstanding: dict[tuple[str, int], float] = {}
         # Moving average of its delays, each divided by the mean delay of the class.
         self.delay_ratio, self.last_response_at = 1.0, now
-        self.failures, self.backoff_until = 0.0, 0.0  # at most 4 failures; a success halves them
+        self.failures, self.backoff_until = (
+            0.0,
+            0.0,
+        )  # `failures`: recent ones, at most 4; a success halves them
         self.broken_connections = 0  # since its last response
         self.reported_load, self.load_reported_at = 0.0, -math.inf  # requests, from its load reports
 
@@ -43,7 +46,7 @@
         return [at for at in self.outstanding.values() if at >= lost_before or at >= self.last_response_at]
 
     def silent_for(self, now: float, mean_delay: float) -> float:
-        """Seconds for which there have been outstanding attempts but no response."""
+        """Seconds without a response while attempts have been outstanding."""
         sent_at = self.live_attempts(now, mean_delay)
         return now - max(self.last_response_at, sent_at[0]) if sent_at else 0.0
 
@@ -55,7 +58,7 @@
         """Whether the host gives no responses in time, or bad ones.
 
         This covers stalled, crashed, hung, ageing and refusing hosts, which cannot be told apart. The more
-        attempts are outstanding, the sooner their silence tells, up to SILENCE_LIMIT attempts; a slow host is
+        attempts are outstanding (up to SILENCE_LIMIT), the shorter the silence that counts; a slow host is
         given more time.
         """
         is_late = self.silent_for(now, mean_delay) * min(
@@ -65,22 +68,22 @@
         return is_late or now < self.backoff_until or (self.failures >= 1 and bool(self.outstanding))
 
     def record_failure(self, now: float, backoff: float) -> None:
-        """Takes note of a failure; `backoff` is in seconds and doubles with each recent failure."""
+        """Records a failure; `backoff` is in seconds and doubles with each recent failure."""
         self.backoff_until = max(self.backoff_until, now + backoff * 2**self.failures)
         self.failures = min(self.failures + 1, 4)
 
     def record_broken_connection(self, now: float, backoff: float) -> None:
-        """Takes note of an established connection that broke; several in a row are a failure of the host.
+        """Records an established connection that broke; several in a row are a failure of the host.
 
-        A single one is not: idle timeouts, resets on the path and single faults break connections to sound
+        A single one is not: idle timeouts, resets on the path and single faults break connections to healthy
         hosts. A host that crashes breaks all its connections at once, or accepts no new ones, which is a
-        failure in itself. A host that resets every request but gets few of them spoils three before it is
-        avoided.
+        failure in itself. Drawback: a host that resets every request but gets few of them fails three before
+        it is avoided.
         """
         self.broken_connections += 1
         if self.broken_connections >= BROKEN_CONNECTION_THRESHOLD:
             self.record_failure(now, backoff)
 
     def record_response(self, now: float) -> None:
-        """Takes note of any response of the host, also of one that reports an error."""
+        """Records any response of the host, also of one that reports an error."""
         self.last_response_at, self.broken_connections = now, 0
--- a/coralvale/logic.py
+++ b/coralvale/logic.py
@@ -30,9 +30,9 @@
 TIMER_INTERVAL_S = 0.1  # well under any delay that a client would notice
 HOST_BACKOFF_S = 0.5  # for which a failing host is avoided; doubled for each recent failure, up to four times
 RETRY_BUDGET_RATIO = 0.2  # retries earned by each request: a broad failure must not double the load
-RETRY_BUDGET_LIMIT_S = 0.5  # the saved budget is at most this much of the throughput, plus one retry
-MAX_WAIT_FRACTION = 0.7  # of the time left for a response in time: the longest acceptable wait
-MAX_WAIT_MULTIPLE = 2.5  # baseline delays, the longest acceptable wait too: a longer queue adds no throughput
+RETRY_BUDGET_LIMIT_S = 0.5  # the budget is at most the responses expected in this time, plus one
+MAX_WAIT_FRACTION = 0.7  # longest acceptable wait, as a fraction of the time left to respond in time
+MAX_WAIT_MULTIPLE = 2.5  # longest acceptable wait, in baseline delays: a longer queue adds no throughput
 ASSUMED_HOST_CONCURRENCY = 4.0  # requests that a host of any size is assumed to process without a queue
 UNHEALTHY_PENALTY = 4.0  # factor on the expected wait at an unhealthy host
 MIN_SUBSET_SIZE = 12  # hosts; few enough for a gateway with little traffic to learn the health of each
@@ -40,7 +40,7 @@
 MIN_CANDIDATES = 4  # hosts drawn and compared for a request, and warm hosts in a subset
 MAX_CANDIDATES = 64  # the best of 64 hosts is as good as the best of a thousand
 QUOTA_RETRY_AFTER_FRACTION = 0.25  # of the latency target: longest Retry-After that leaves time for a retry
-EWMA_WEIGHT = 0.05  # of the newest sample: an average over about 20 samples, accurate to a fifth
+EWMA_WEIGHT = 0.05  # of the newest sample; the average over about 20 samples is accurate to a fifth
 MIN_TIMEOUT_MULTIPLE = 5.0  # mean delays that an attempt gets at least: one in a hundred takes longer
 RETRY_RESERVE_MULTIPLE = 3.0  # mean delays before the latency target that are reserved for a retry
 MIN_RETRY_RESERVE_S = 0.02  # reserved at least: a loaded gateway may notice a timeout this much late
@@ -167,7 +167,7 @@
             if now >= host.backoff_until
             and host.silent_for(now, self.mean_delay) <= SILENCE_LIMIT * self.mean_delay
         ]
-        # So many hosts do not hang at once by chance: they are overloaded, and their attempts count as well.
+        # If most of the busy hosts do not respond, they are overloaded rather than hung: all attempts count.
         if 2 * len(responsive) < len(self.busy_hosts):
             responsive = list(counts.values())
         rate, hosts = (
@@ -230,17 +230,17 @@
             (self.warm_subset if host in self.warm_hosts else self.cold_subset).append(host)
 
     def _pick_cold_host(self, now: float) -> Host | None:
-        """Draws a cold host for a first attempt, by its present capacity; None leaves it to a warm host."""
+        """Draws a cold host for a first attempt, by present capacity; None means to use a warm host."""
         # However many hosts are cold, a load that the subset could bear if all of it were warm gives a cold
         # host at most COLD_OVERLOAD_FRACTION of what would overload it, or its present capacity if that is
         # more. The draw ignores queue lengths and saves up no credit, so the shares of hundreds of gateways
         # add up to no more than that.
         capacities = [h.scale * h.capacity_fraction(self.settings, now) for h in self.cold_subset]
         warm_capacity = sum(h.scale for h in self.warm_subset)
-        min_total = (warm_capacity + sum(h.scale for h in self.cold_subset)) / max(
+        min_total_capacity = (warm_capacity + sum(h.scale for h in self.cold_subset)) / max(
             1.0, COLD_OVERLOAD_FRACTION * self.settings.overload_multiple
         )
-        draw = self.random.random() * max(min_total, warm_capacity + sum(capacities))
+        draw = self.random.random() * max(min_total_capacity, warm_capacity + sum(capacities))
         for host, capacity in zip(self.cold_subset, capacities, strict=True):
             if (draw := draw - capacity) < 0:
                 return None if host.is_unhealthy(now, self.mean_delay) else host
@@ -255,16 +255,18 @@
         if pending:  # hosts of the subset come first: there are connections to them
             pool = [h for h in self.warm_subset if self._may_retry_on(now, pending, h)]
             pool = pool or [h for h in self.warm_hosts if self._may_retry_on(now, pending, h)]
-        drawn = min(MAX_CANDIDATES, max(MIN_CANDIDATES, 4 * len(self.warm_hosts) // self.settings.gateways))
-        if drawn < len(pool):
-            pool = self.random.choices(pool, [h.scale for h in pool], k=drawn)
+        sample_size = min(
+            MAX_CANDIDATES, max(MIN_CANDIDATES, 4 * len(self.warm_hosts) // self.settings.gateways)
+        )
+        if sample_size < len(pool):
+            pool = self.random.choices(pool, [h.scale for h in pool], k=sample_size)
         best, min_wait = None, math.inf
         for host in pool:
             reported = max(0.0, host.reported_load) if now - host.load_reported_at < QUIET / 2 else 0.0
             wait = (1 + (len(host.outstanding) + reported) / host.scale) * host.decayed_delay_ratio(now)
             wait *= 1 + 0.1 * self.random.random() + (0.02 if host.info.zone != self.settings.zone else 0)
-            # Unhealthy hosts rank lower but are not excluded: if most are unhealthy, that would overload the
-            # rest.
+            # Unhealthy hosts rank lower but are not excluded: if most hosts are unhealthy, the others could
+            # not take all requests.
             if (
                 wait := wait * UNHEALTHY_PENALTY if host.is_unhealthy(now, self.mean_delay) else wait
             ) < min_wait:
