--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -343,7 +343,7 @@
 
 def test_requests_refused_for_lack_of_a_host_leave_no_units_on_the_counter() -> None:
     """A sampled request is added for others too; they give back their units as it gives back its own."""
-    bench, added, unreported_units = bench_with_counter(max_units=4.0, servers=()), 0.0, 0.0
+    bench, added, unreported_units = bench_with_counter(max_units=4.0, hosts=()), 0.0, 0.0
     for customer in range(1000):
         bench.gateway.admission.shared.trust = 1.0
         action = bench.request(customer=customer, entry_gateways=MANY)[1][0]
