--- a/tests/test_quota_faults.py
+++ b/tests/test_quota_faults.py
@@ -9,7 +9,7 @@
 
 from coralvale import interface as api
 from coralvale.admission import IDLE_TIMEOUT_S
-from coralvale.logic import TICK
+from coralvale.logic import TIMER_INTERVAL_S
 from coralvale.restrictor import RATE_UPDATE_INTERVAL_S
 from coralvale.shared_quota import MAX_CALL_UNITS
 
@@ -92,7 +92,7 @@
     names = [bench.ask() for _ in range(20)]
     assert len(bench.pending_calls()) == 20
     bench.calls.clear()
-    bench.wait(2 * COUNTER_TIMEOUT + TICK + 0.01)
+    bench.wait(2 * COUNTER_TIMEOUT + TIMER_INTERVAL_S + 0.01)
     assert [
         name for name in names if name not in bench.out() and not bench.tracked_requests[name].ended
     ] == []
--- a/tests/test_quota_input.py
+++ b/tests/test_quota_input.py
@@ -11,7 +11,7 @@
 from helpers import PLAN, Bench
 
 from coralvale import interface as api
-from coralvale.logic import TICK
+from coralvale.logic import TIMER_INTERVAL_S
 from coralvale.shared_quota import COVERAGE_ALL_REQUESTS, MIN_COVERAGE
 
 GATEWAYS = 1024
@@ -273,13 +273,13 @@
 
 
 @pytest.mark.parametrize(("plan", "calls"), ((BASIC, 1), (CEILING, 2)))
-def test_a_counter_that_never_replies_delays_a_request_by_two_timeouts_and_a_tick_per_call(
+def test_a_counter_that_never_replies_delays_a_request_by_two_timeouts_and_a_timer_interval_per_call(
     plan: int, calls: int
 ) -> None:
     """One call goes to the shared bucket, and a second one to the pool of the ceiling if there is one."""
     bench = QuotaBench()
     names = [bench.request(customer, plan_index=plan, entry_gateways=GATEWAYS)[0] for customer in range(30)]
-    bench.wait(calls * (2 * COUNTER_TIMEOUT + TICK) + 0.01)
+    bench.wait(calls * (2 * COUNTER_TIMEOUT + TIMER_INTERVAL_S) + 0.01)
     assert [n for n in names if not bench.ends[n] and n not in bench.attempts] == []
     bench.finish()
 
@@ -316,7 +316,8 @@
         two, _ = bench.request(plan_index=second, entry_gateways=entries)
         while bench.calls and total is not None:
             bench.answer_oldest_call(total)
-        bench.wait(2 * (2 * COUNTER_TIMEOUT + 2 * TICK) + 0.01)  # two calls each, and a tick for each call
+        # Two calls each, and a timer interval for each call.
+        bench.wait(2 * (2 * COUNTER_TIMEOUT + 2 * TIMER_INTERVAL_S) + 0.01)
         for name in (one, two):
             assert bench.ends[name] == ["Refuse"] or name in bench.out()
         bench.finish()
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -6,7 +6,17 @@
 import socket
 
 import pytest
-from net_helpers import Client, StillClock, World, entry, request, run, soon, until, world
+from net_helpers import (
+    Client,
+    ManualClock,
+    RunningGateway,
+    entry,
+    request,
+    run,
+    running_gateway,
+    until,
+    with_timeout,
+)
 
 from coralvale import interface as api
 from coralvale.net.server import IDLE, PARTIAL
@@ -14,18 +24,18 @@
 MOMENT = 0.001  # s by which a time limit is passed
 
 
-def refuse_all(w: World) -> None:
+def refuse_all(w: RunningGateway) -> None:
     w.script.on(api.Request, lambda e: [api.Refuse(e.id, 0.25)])
 
 
 def test_a_request_reaches_the_module_as_it_came() -> None:
     async def test() -> None:
-        async with world() as w:
+        async with running_gateway() as w:
             refuse_all(w)
             before = w.node.clock.now()
             message = await w.ask(request("r7", "write", body=b"x", X_Timeout="0.480"))
             assert message.status == 503 and message.headers[b"retry-after"] == b"0.250"
-            (event,) = w.script.of(api.Request)
+            (event,) = w.script.received(api.Request)
             assert (event.id, event.class_index, event.plan_index, event.customer) == ("r7", 1, 0, 0xB4D65521)
             assert (event.entry_gateways, event.units) == (2, 1.0)
             assert before < event.expires_at < w.node.clock.now() + 0.480
@@ -60,17 +70,17 @@
         (request(Quota_Info="units=1,spread=4,first=1"), 400),
         (request(Quota_Info="units=1,spread=2,first=3"), 400),
         (request().replace(b"GET", b"POST"), 400),
-        (request(cls="write").replace(b"POST", b"GET"), 400),
+        (request(class_name="write").replace(b"POST", b"GET"), 400),
         (request().replace(b"Plan: team\r\n", b"Plan: team\r\nPlan: team\r\n"), 400),
-        (request(cls="write", body=b"x" * (64 * 1024 + 1)), 413),
-        (request(cls="write", Content_Length="99999999999"), 413),
-        (request(cls="write", Content_Length="-1"), 400),
-        (request(cls="write", Content_Length="+1") + b"x", 400),
-        (request(cls="write", Content_Length="1, 1") + b"x", 400),
-        (request(cls="write", Content_Length="1\r\nContent-Length: 1") + b"x", 400),
-        (request(cls="write", Content_Length="5", Transfer_Encoding="chunked") + b"0\r\n\r\n", 400),
-        (request(cls="write", Transfer_Encoding="chunked", Content_Length="5") + b"0\r\n\r\n", 400),
-        (request(cls="write", Transfer_Encoding="gzip, chunked") + b"0\r\n\r\n", 400),
+        (request(class_name="write", body=b"x" * (64 * 1024 + 1)), 413),
+        (request(class_name="write", Content_Length="99999999999"), 413),
+        (request(class_name="write", Content_Length="-1"), 400),
+        (request(class_name="write", Content_Length="+1") + b"x", 400),
+        (request(class_name="write", Content_Length="1, 1") + b"x", 400),
+        (request(class_name="write", Content_Length="1\r\nContent-Length: 1") + b"x", 400),
+        (request(class_name="write", Content_Length="5", Transfer_Encoding="chunked") + b"0\r\n\r\n", 400),
+        (request(class_name="write", Transfer_Encoding="chunked", Content_Length="5") + b"0\r\n\r\n", 400),
+        (request(class_name="write", Transfer_Encoding="gzip, chunked") + b"0\r\n\r\n", 400),
         (request(Quota_Info="units=1e9,spread=2,first=1"), 400),
         (request(Quota_Info="units=4.5,spread=2,first=1"), 400),
         (request(Quota_Info="units=0.001,spread=2,first=1"), 400),
@@ -82,33 +92,33 @@
 )
 def test_what_is_not_in_the_protocols_form_reaches_nobody(data: bytes, status: int) -> None:
     async def test() -> None:
-        async with world(entry("s-1", 1)) as w:
+        async with running_gateway(entry("s-1", 1)) as w:
             assert (await w.ask(data)).status == status
-            assert not w.script.of(api.Request)
+            assert not w.script.received(api.Request)
 
     run(test())
 
 
 def test_a_request_may_come_in_pieces_and_a_connection_is_kept() -> None:
     async def test() -> None:
-        async with world() as w:
+        async with running_gateway() as w:
             refuse_all(w)
             client = await w.client()
-            data = request(cls="write", body=b"12345")
+            data = request(class_name="write", body=b"12345")
             for i in range(len(data)):
                 client.send(data[i : i + 1])
                 await client.writer.drain()
             assert (await client.receive()).status == 503
             chunked = request("r2", "write", Transfer_Encoding="chunked") + b"2\r\nab\r\n1\r\nc\r\n0\r\n\r\n"
             assert (await client.ask(chunked)).status == 503
-            assert len(w.script.of(api.Request)) == 2 and len(w.node.server.connections) == 1
+            assert len(w.script.received(api.Request)) == 2 and len(w.node.server.connections) == 1
 
     run(test())
 
 
 def test_pipelined_requests_are_answered_in_order() -> None:
     async def test() -> None:
-        async with world() as w:
+        async with running_gateway() as w:
             w.script.on(
                 api.Request, lambda e: [api.Refuse("r2", 2.0), api.Refuse("r1", 1.0)][: e.id == "r2" and 2]
             )
@@ -123,7 +133,7 @@
 
 def test_many_pipelined_requests_are_all_answered() -> None:
     async def test() -> None:
-        async with world() as w:
+        async with running_gateway() as w:
             refuse_all(w)
             client = await w.client()
             client.send(b"".join(request(f"r{i}") for i in range(60)))
@@ -135,63 +145,63 @@
 
 def test_a_connection_is_closed_where_the_client_says_so() -> None:
     async def test() -> None:
-        async with world() as w:
+        async with running_gateway() as w:
             refuse_all(w)
             client = await w.client()
             message = await client.ask(request(Connection="close"))
             assert message.status == 503 and message.headers[b"connection"] == b"close"
-            assert await client.at_end()
+            assert await client.closed_by_gateway()
 
     run(test())
 
 
 def test_a_client_that_leaves_is_told_to_the_module_once() -> None:
     async def test() -> None:
-        async with world() as w:
+        async with running_gateway() as w:
             client = await w.client()
             client.send(request("r1"))
-            await until(lambda: w.script.of(api.Request))
+            await until(lambda: w.script.received(api.Request))
             client.close()
-            await until(lambda: w.script.of(api.RequestAbandoned))
-            assert w.script.of(api.RequestAbandoned) == [api.RequestAbandoned("r1")]
+            await until(lambda: w.script.received(api.RequestAbandoned))
+            assert w.script.received(api.RequestAbandoned) == [api.RequestAbandoned("r1")]
             assert not w.node.held
             half = await w.client()
             half.send(request("r2")[:-10])
             half.close()
             await until(lambda: not w.node.server.connections)
-            assert len(w.script.of(api.Request)) == len(w.script.of(api.RequestAbandoned)) == 1
+            assert len(w.script.received(api.Request)) == len(w.script.received(api.RequestAbandoned)) == 1
 
     run(test())
 
 
 def test_a_second_request_under_an_id_in_use_is_turned_away() -> None:
     async def test() -> None:
-        async with world() as w:
+        async with running_gateway() as w:
             client = await w.client()
             client.send(request("r1"))
-            await until(lambda: w.script.of(api.Request))
+            await until(lambda: w.script.received(api.Request))
             assert (await w.ask(request("r1"))).status == 400
-            assert len(w.script.of(api.Request)) == 1
+            assert len(w.script.received(api.Request)) == 1
 
     run(test())
 
 
 def test_the_most_held_is_kept_and_the_surplus_refused_at_once() -> None:
     async def test() -> None:
-        async with world(ceilings={"most_held": 2}) as w:
+        async with running_gateway(ceilings={"most_held": 2}) as w:
             client = await w.client()
             client.send(request("r1") + request("r2"))
             await until(lambda: len(w.node.held) == 2)
             message = await w.ask(request("r3"))
             assert message.status == 503 and message.headers[b"retry-after"] == b"0.500"
-            assert len(w.script.of(api.Request)) == 2
+            assert len(w.script.received(api.Request)) == 2
 
     run(test())
 
 
 def test_connections_are_bounded_idle_ones_give_way_and_the_surplus_is_refused() -> None:
     async def test() -> None:
-        async with world() as w:
+        async with running_gateway() as w:
             refuse_all(w)
             w.node.server.most, w.node.server.surplus = 2, 1
             first, second = await w.client(), await w.client()
@@ -199,7 +209,7 @@
             await second.ask(request("r2"))
             third = await w.client()
             assert (await third.ask(request("r3"))).status == 503
-            assert await first.at_end()  # it had stood idle the longest
+            assert await first.closed_by_gateway()  # it had stood idle the longest
             w.script.on(api.Request, lambda e: [])
             second.send(request("r4"))
             third.send(request("r5"))
@@ -207,7 +217,7 @@
             surplus = await w.client()
             message = await surplus.ask(request("r6"))
             assert message.status == 503 and message.headers[b"connection"] == b"close"
-            assert await surplus.at_end() and len(w.node.held) == 2
+            assert await surplus.closed_by_gateway() and len(w.node.held) == 2
 
     run(test())
 
@@ -220,7 +230,7 @@
     """
 
     async def test() -> None:
-        async with world() as w:
+        async with running_gateway() as w:
             w.node.server.most, w.node.server.surplus = 1, 0
             first = await w.client()
             first.send(request("r1"))
@@ -231,7 +241,7 @@
             await until(lambda: w.node.clock.now() > sent_at + 0.2)
             first.close()
             await until(lambda: "r2" in w.node.held)
-            (_, event) = w.script.of(api.Request)
+            (_, event) = w.script.received(api.Request)
             assert event.expires_at <= sent_at + 30.0
             assert event.expires_at > sent_at + 29.0
             third = await w.client()
@@ -240,7 +250,7 @@
             third.send(request("r3"))
             sent_at = w.node.clock.now()
             await until(lambda: "r3" in w.node.held)
-            assert w.script.of(api.Request)[-1].expires_at > sent_at + 29.0
+            assert w.script.received(api.Request)[-1].expires_at > sent_at + 29.0
 
     run(test())
 
@@ -262,7 +272,7 @@
             return getattr(self.inner, name)
 
     async def test() -> None:
-        async with world() as w:
+        async with running_gateway() as w:
             exhausted = Exhausted(w.node.server.socket)
             w.node.server.socket = exhausted  # type: ignore[assignment]
             assert (await w.ask(request(target="/no"))).status == 404
@@ -273,11 +283,11 @@
 
 def test_idle_clients_and_requests_that_never_come_whole_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        async with world() as w:
+        async with running_gateway() as w:
             refuse_all(w)
             silent, slow, body, usual = [await w.client() for _ in range(4)]
             slow.send(request()[:-10])
-            body.send(request(cls="write", Content_Length="9") + b"x")
+            body.send(request(class_name="write", Content_Length="9") + b"x")
             assert (await usual.ask(request("r1"))).status == 503
             await until(lambda: sum(c.reading is not None for c in w.node.server.connections) == 2)
             clock.now += PARTIAL
@@ -287,18 +297,18 @@
             clock.now += MOMENT
             for client in (slow, body):  # they are told why, as nothing was taken of them
                 assert (await client.receive()).status == 408
-                assert await client.at_end()
-            assert await silent.at_end()
+                assert await client.closed_by_gateway()
+            assert await silent.closed_by_gateway()
             assert (await usual.ask(request("r2"))).status == 503  # one that asks is not hurried
             await until(lambda: len(w.node.server.connections) == 1)
             clock.now += IDLE
             w.node.server._sweep()
             assert [c.ended for c in w.node.server.connections] == [False]
             clock.now += MOMENT
-            assert await usual.at_end()
-            assert len(w.script.of(api.Request)) == 2
+            assert await usual.closed_by_gateway()
+            assert len(w.script.received(api.Request)) == 2
 
-    clock = StillClock()
+    clock = ManualClock()
     monkeypatch.setattr("coralvale.net.server.time", clock)
     for name in ("SWEEP", "LINGER"):
         monkeypatch.setattr(f"coralvale.net.server.{name}", 0.01)
@@ -307,13 +317,13 @@
 
 def test_idle_connections_are_closed_sooner_when_room_is_short(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        async with world() as w:
+        async with running_gateway() as w:
             refuse_all(w)
             w.node.server.most = 3
             first, second = await w.client(), await w.client()
             await first.ask(request("r1"))
             await second.ask(request("r2"))
-            assert await first.at_end()
+            assert await first.closed_by_gateway()
 
     monkeypatch.setattr("coralvale.net.server.SHORT_IDLE", 0.01)
     monkeypatch.setattr("coralvale.net.server.SWEEP", 0.01)
@@ -324,13 +334,13 @@
     """Nobody gains by connecting a hundred times and saying nothing."""
 
     async def test() -> None:
-        async with world() as w:
+        async with running_gateway() as w:
             refuse_all(w)
             w.node.server.most, w.node.server.surplus = 4, 0
             silent = [await w.client() for _ in range(100)]
             assert (await w.ask(request())).headers[b"retry-after"] == b"0.250"
             assert len(w.node.server.connections) <= 4
-            assert await silent[0].at_end()
+            assert await silent[0].closed_by_gateway()
 
     monkeypatch.setattr("coralvale.net.server.SETTLING", 0.0)
     run(test())
@@ -340,26 +350,26 @@
     """Else the same could come again at full speed; what follows it at once is not looked at."""
 
     async def test() -> None:
-        async with world() as w:
+        async with running_gateway() as w:
             refuse_all(w)
             bad = await w.client()
             assert (await bad.ask(request("bad", Plan="other") + request("r2"))).status == 400
-            assert await bad.at_end()
-            assert not w.script.of(api.Request)
+            assert await bad.closed_by_gateway()
+            assert not w.script.received(api.Request)
 
     run(test())
 
 
 def test_what_comes_behind_a_bad_head_is_not_read_and_the_answer_arrives() -> None:
     async def test() -> None:
-        async with world() as w:
+        async with running_gateway() as w:
             bad = await w.client()
-            bad.send(request(cls="write", Content_Length="60000000"))
+            bad.send(request(class_name="write", Content_Length="60000000"))
             assert (await bad.receive()).status == 413
             (connection,) = w.node.server.connections
             assert connection.transport is not None and not connection.transport.is_reading()
             bad.send(b"x" * 1_000_000)
-            assert await bad.at_end()
+            assert await bad.closed_by_gateway()
             await until(lambda: not w.node.server.connections)  # it does not stay for good
 
     run(test())
@@ -369,7 +379,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
-        async with world() as w:
+        async with running_gateway() as w:
             for _ in range(5):
                 assert (await w.ask(b"nonsense\r\n\r\n")).status == 400
             await until(lambda: len(w.node.server.connections) == 2)
@@ -384,7 +394,7 @@
         return (await client.ask(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")).status
 
     async def test() -> None:
-        async with world() as w:
+        async with running_gateway() as w:
             client = await w.client()
             w.node.ready = False
             assert await up(client) == 503
@@ -404,7 +414,7 @@
     """Though it goes on sending: its unread answers would fill the memory."""
 
     async def test() -> None:
-        async with world() as w:
+        async with running_gateway() as w:
             client = await w.client()
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             client.send(500_000 * b"GET /up HTTP/1.1\r\n\r\n")
@@ -422,7 +432,7 @@
 
 def test_one_that_reads_late_gets_all_of_its_answers() -> None:
     async def test() -> None:
-        async with world() as w:
+        async with running_gateway() as w:
             client, count = await w.client(), 300_000
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             client.send(count * b"GET /up HTTP/1.1\r\n\r\n")
@@ -430,7 +440,7 @@
             client.writer.transport.resume_reading()  # type: ignore[attr-defined]
             seen, end = 0, b""
             while seen < count:
-                end = end[-8:] + await soon(client.reader.read(1 << 20))
+                end = end[-8:] + await with_timeout(client.reader.read(1 << 20))
                 seen += end.count(b"HTTP/1.1 ")  # nine bytes, of which eight are kept
 
     run(test())
