--- a/coralvale/restrictor.py
+++ b/coralvale/restrictor.py
@@ -31,10 +31,10 @@
 # Estimated demand, as a multiple of the plan's rate, at which a customer is surely below its quota, or above.
 LIGHT_DEMAND_RATIO, HEAVY_DEMAND_RATIO = 0.4, 1.0
 BREAK_EVEN_COST = 1.0  # net cost of a wrong admission that equals that of a wrong refusal, in requests' worth
-UNDERSAMPLED_UNITS_RATIO = 2.0  # units of a request over an even share of the burst; beyond it, undersampled
+UNDERSAMPLED_UNITS_RATIO = 2.0  # of a request's units to an even share of the burst; undersampled above it
 WIDE_SET_MIN_GATEWAYS = 8  # entry gateways from which on each sees too little of a customer's traffic
 UNDERFLOW_TOLERANCE = 0.25  # share of its burst by which a bucket on the counter may run below empty
-MAX_USAGE = 8.0  # multiple of the plan's rate; higher readings are clamped, they say no more
+MAX_USAGE = 8.0  # multiple of the plan's rate to which readings are clamped; higher ones tell no more
 POOLED_CEILING_SHARE = 0.4  # of a wide set's ceiling; the rest is divided evenly among the gateways
 RECENT_USAGE_MAX_AGE_S = 15.0  # for which readings still tell a light customer from a heavy one
 LOCAL_BLOCK_EXTRA_S = 20.0  # for which the local bucket admits nothing after the shared bucket has room again
