--- a/tests/quota_books.py
+++ b/tests/quota_books.py
@@ -138,9 +138,8 @@
     """A gateway whose calls to the counter stay pending until the test decides on their result."""
 
     def __init__(self, seed: int = 1, **changes: object) -> None:
-        self.calls: dict[
-            int, deque[UnansweredCall]
-        ] = {}  # by name of the entry, in the order of their answers
+        # By name of the entry, in the order in which they are answered.
+        self.calls: dict[int, deque[UnansweredCall]] = {}
         self.quota, self.pool = Account(), Account()
         self.tracked_requests: dict[str, TrackedRequest] = {}
         self.calls_by_case: Counter[tuple[CallResult, Purpose, str]] = Counter()
