--- a/coralvale/net/discovery.py
+++ b/coralvale/net/discovery.py
@@ -72,17 +72,18 @@
         silent: float = SILENT,
         callers: int = 0,
         grace: float = math.inf,
-        told_within: float = math.inf,
+        max_propagation_delay: float = math.inf,
     ) -> None:
         """`callers`: how many gateways' calls wait in one line; nought where each is answered at once.
 
         `grace`: s from when a drain counts as told until sending must have ended. What an agent learns when
         it is back counts at once, so a try that came just too early must be over well within that.
-        `told_within`: s after discovery could be reached, or a watch of it fell silent, in which what it has
-        counts as told, whatever calls have failed: from then to the next answer it must not take longer.
+        `max_propagation_delay`: s after discovery could be reached, or a watch of it fell silent, in which
+        what it has counts as told, whatever calls have failed: from then to the next answer it must not take
+        longer.
         """
         self.address, self.on_change = address, on_change
-        self.told_within = self.within = told_within
+        self.max_propagation_delay = self.within = max_propagation_delay
         self.spread = TURN * callers
         if callers:
             self.connect_time, self.patience, self.answer = CONNECT_LINE, PATIENCE, TURNS
@@ -92,13 +93,13 @@
             self.connect_time, self.patience = min(CONNECT, step), min(silent, ANSWER, step)
             self.answer, self.most_backoff = self.patience, min(MOST_BACKOFF, step / (1 + JITTER))
         # What is left when silence is noticed has to be enough for a pause, a connect and an answer.
-        self.silent = min(silent, told_within - self.connect_time - self.answer - 2 * LATE)
+        self.silent = min(silent, max_propagation_delay - self.connect_time - self.answer - 2 * LATE)
         self.zones = {name: i for i, name in enumerate(zones)}
         self.kinds = {name: i for i, name in enumerate(kinds)}
         self.endpoints: dict[str, Endpoint] = {}
         self.index: int | None = None
         self.random = random.Random()
-        self.connection: Watch | None = None
+        self.watch: Watch | None = None
         self.backoff = BACKOFF
         self.since = math.inf  # from when on discovery may have had what it has not told
         self.moved = asyncio.Event()  # set when the address has changed: there is nothing to wait for
@@ -165,8 +166,8 @@
     def refresh(self) -> None:
         """Asks for the whole list, by a new watch from no version."""
         self.index = None
-        if self.connection:
-            self.connection.close()
+        if self.watch:
+            self.watch.close()
 
     def move(self, address: Address) -> None:
         """Follows another agent from now on, from no version: an index means nothing to a stranger.
@@ -174,7 +175,7 @@
         The list stays as it is until the new agent has told its own.
         """
         self.address, self.backoff = address, BACKOFF
-        self.within = min(self.told_within, MOVED)
+        self.within = min(self.max_propagation_delay, MOVED)
         self.refresh()
         self.moved.set()
 
@@ -186,7 +187,7 @@
             await asyncio.sleep(self._pause(self.since))
         while True:
             self.moved.clear()
-            watching = asyncio.ensure_future(self._watch())
+            watching = asyncio.ensure_future(self._run_watch())
             moved = asyncio.ensure_future(self.moved.wait())
             try:
                 await asyncio.wait([watching, moved], return_when=asyncio.FIRST_COMPLETED)
@@ -211,10 +212,10 @@
         most = max(0.0, min(self.backoff * (1 + JITTER) + self.spread, left))
         return self.random.uniform(min(self.backoff * (1 - JITTER), most), most)
 
-    async def _watch(self) -> bool:
+    async def _run_watch(self) -> bool:
         """Follows one watch to its end; tells whether it was of any use."""
         loop = asyncio.get_running_loop()
-        watch = self.connection = Watch(self)
+        watch = self.watch = Watch(self)
         self.since = loop.time()
         try:
             async with asyncio.timeout(self.connect_time):
@@ -232,11 +233,11 @@
                 watch.close()
             # No longer than it may be silent: it may be answered, and fall silent, while this waits.
             await asyncio.wait([watch.lost], timeout=max(min(left, self.silent), LOOK))
-        useful = watch.heard and not watch.broken
+        useful = watch.heard and not watch.malformed
         if watch.answered:  # one that was of use has told all until it was lost
             self.since = loop.time() if useful and not watch.silent else watch.heard_at
         if useful:
-            self.within = self.told_within
+            self.within = self.max_propagation_delay
         return useful
 
 
@@ -245,7 +246,7 @@
 
     def __init__(self, owner: Discovery) -> None:
         self.owner, self.rest = owner, b""
-        self.answered = self.heard = self.broken = False
+        self.answered = self.heard = self.malformed = False
         self.silent = False  # it said nothing for too long
         self.begun = False  # whether `rest` holds lines of a message that has not come whole
         self.counted = self.depth = 0  # bytes of `rest` looked at for brackets, and those left open there
@@ -279,7 +280,7 @@
             self.owner.on_answer()
 
     def on_body(self, body: bytes) -> None:
-        if self.owner.connection is not self:  # what an agent left behind still had to say
+        if self.owner.watch is not self:  # what an agent left behind still had to say
             self.close()
             return
         self.heard_at, self.heard = self.clock(), True
@@ -289,7 +290,7 @@
         # An indented message is not read again with each line, but where its end or an empty line has come.
         if b"\n" in body and (not self.begun or not body.strip() or self._closed()):
             self._read()
-        if self.broken:
+        if self.malformed:
             self.close()
 
     def _closed(self) -> bool:
@@ -330,13 +331,13 @@
                 raise ValueError("changes to an older list than the one held")
         except (ValueError, TypeError, AttributeError) as error:
             self._spoilt(json.dumps(message), error)
-        if self.broken:
+        if self.malformed:
             self.owner.index = None
 
     def _spoilt(self, text: str, error: Exception) -> None:
         """One bad message must not lose the others; what it told is asked for anew, with the whole list."""
         log.warning("discovery: cannot use message %.200r: %r", text, error)
-        self.broken = True
+        self.malformed = True
         self.owner.index = None
 
     def on_message_complete(self) -> None:
--- a/coralvale/net/node.py
+++ b/coralvale/net/node.py
@@ -27,10 +27,10 @@
 
 log = logging.getLogger(__name__)
 
-READY = 0.25  # s that the answer to the first watch may take; without it the known list must do
+READY_TIMEOUT_S = 0.25  # s that the answer to the first watch may take; without it the known list must do
 SETTLE = 0.01  # s after that answer for the line that holds what has changed; where nothing has, none comes
 ANSWER_ROOM = 0.05  # s before the client's time is up, kept for writing an answer
-TOLD = 6.0  # s after which what discovery has counts as told, if it can be reached, whatever has failed
+MAX_PROPAGATION_DELAY_S = 6.0  # after which what discovery has counts as told, if it can be reached
 ACCEPT = 0.45  # s after SIGTERM in which new connections go on coming (0.2 to 0.4 s)
 CROSSED = 0.25  # s more, for clients whose request crossed the closing of their idle connection
 DEADLINE = 3.0  # s that a kill leaves for the longest deadline, at most
@@ -83,7 +83,7 @@
         self.clock = clock or Clock()
         self.loop = asyncio.get_running_loop()
         self.gateway = Gateway(config.settings, config.seed)
-        self.held: dict[str, PendingRequest] = {}
+        self.pending: dict[str, PendingRequest] = {}
         self.ready = False
         self.ends_at: float | None = None  # after SIGTERM, when all must be answered
         self.accepting_ended = False
@@ -105,7 +105,7 @@
             self._listed,
             callers=config.settings.gateways if config.settings.list_on_request else 0,
             grace=config.settings.drain_grace,
-            told_within=TOLD,
+            max_propagation_delay=MAX_PROPAGATION_DELAY_S,
         )
         self.counter = self._make_counter(config.counter)
         self.actions: dict[type, Callable[[Any], None]] = {
@@ -126,7 +126,7 @@
         self.watching = self.loop.create_task(self.discovery.run())
         self.server.start()
         self.discovery.on_answer = self._settle
-        self.loop.call_later(READY, self._be_ready)
+        self.loop.call_later(READY_TIMEOUT_S, self._be_ready)
 
     def _settle(self) -> None:
         self.loop.call_later(SETTLE, self._be_ready)
@@ -194,46 +194,50 @@
         if isinstance(event, api.TimerFired):
             self._set_timer(api.SetTimer(event.token, self.delays.get(event.token, LOST_TIMER)))
         elif isinstance(event, api.Request):
-            self._give_up(self.held.get(event.id))
-        elif isinstance(event, api.AttemptDone) and (held := self.held.get(event.request)) and not held.out:
-            self._give_up(held)
+            self._give_up(self.pending.get(event.id))
+        elif (
+            isinstance(event, api.AttemptDone)
+            and (pending := self.pending.get(event.request))
+            and not pending.out
+        ):
+            self._give_up(pending)
 
-    def _give_up(self, held: PendingRequest | None) -> None:
+    def _give_up(self, pending: PendingRequest | None) -> None:
         """The answer that nobody decided: a refusal only if trying again does no harm, else a failure."""
-        if held is None or held.answered:
+        if pending is None or pending.answered:
             return
         if (
-            held.may_have_run
-            and self.settings.classes[held.arrival.cls].idempotency is not api.Idempotency.SAFE
+            pending.may_have_run
+            and self.settings.classes[pending.arrival.cls].idempotency is not api.Idempotency.SAFE
         ):
-            self._finish(held, 504 if held.timed_out else 502)
+            self._finish(pending, 504 if pending.timed_out else 502)
         else:
-            self._finish(held, 503, retry_after=self.settings.retry_after_limit)
-        self.feed(api.RequestAbandoned(held.arrival.id))
-
-    def _finish(self, held: PendingRequest, status: int, **answer: Any) -> None:  # noqa: ANN401
-        if not held.answered:
-            held.answered = True
-            held.exchange.reply(status, **answer)
-            self._forget(held)
-
-    def _forget(self, held: PendingRequest) -> None:
-        if held.answered and not held.out:
-            if held.timer:
-                held.timer.cancel()
-            self.held.pop(held.arrival.id, None)
-            held.exchange.held = None  # no cycles are left behind: nothing waits for the collector
-            held.attempts.clear()
+            self._finish(pending, 503, retry_after=self.settings.retry_after_limit)
+        self.feed(api.RequestAbandoned(pending.arrival.id))
+
+    def _finish(self, pending: PendingRequest, status: int, **answer: Any) -> None:  # noqa: ANN401
+        if not pending.answered:
+            pending.answered = True
+            pending.exchange.reply(status, **answer)
+            self._forget(pending)
+
+    def _forget(self, pending: PendingRequest) -> None:
+        if pending.answered and not pending.out:
+            if pending.timer:
+                pending.timer.cancel()
+            self.pending.pop(pending.arrival.id, None)
+            pending.exchange.held = None  # no cycles are left behind: nothing waits for the collector
+            pending.attempts.clear()
             if self.ends_at is not None:
                 self._end_if_done()
 
     # Clients
 
     def take(self, exchange: Exchange, arrival: Arrival) -> None:
-        if arrival.id in self.held:  # ids are new with every request; two under one cannot be told apart
+        if arrival.id in self.pending:  # ids are new with every request; two under one cannot be told apart
             exchange.refuse(400, b"x-request-id: in use\n")
             return
-        if len(self.held) >= self.config.most_held:
+        if len(self.pending) >= self.config.most_held:
             exchange.reply(503, retry_after=self.settings.retry_after_limit)
             return
         now = self.clock.now()
@@ -241,9 +245,9 @@
         expires_at = now + max(0.0, patience - ANSWER_ROOM)
         if self.ends_at is not None:
             expires_at = min(expires_at, self.ends_at)
-        held = PendingRequest(exchange, arrival, expires_at)
-        exchange.held = held
-        self.held[arrival.id] = held
+        pending = PendingRequest(exchange, arrival, expires_at)
+        exchange.held = pending
+        self.pending[arrival.id] = pending
         self.feed(
             api.Request(
                 id=arrival.id,
@@ -255,53 +259,53 @@
                 units=arrival.units,
             )
         )
-        if not held.answered:  # most requests of a busy day are refused at once and need no timer
-            held.timer = self.loop.call_later(max(0.0, expires_at - now), self._expire, held)
+        if not pending.answered:  # most requests of a busy day are refused at once and need no timer
+            pending.timer = self.loop.call_later(max(0.0, expires_at - now), self._expire, pending)
 
     def client_left(self, exchange: Exchange) -> None:
-        held = exchange.held
-        if held is not None and not held.answered:
-            held.answered = True
-            self.feed(api.RequestAbandoned(held.arrival.id))
-            self._forget(held)
+        pending = exchange.held
+        if pending is not None and not pending.answered:
+            pending.answered = True
+            self.feed(api.RequestAbandoned(pending.arrival.id))
+            self._forget(pending)
 
-    def _expire(self, held: PendingRequest) -> None:
+    def _expire(self, pending: PendingRequest) -> None:
         """The client's time is up: attempts end as timed out, and what is then unanswered is answered."""
-        held.expires_at = min(held.expires_at, self.clock.now())  # a drain may have less time: no more sends
-        for attempt in list(held.attempts):
+        pending.expires_at = min(pending.expires_at, self.clock.now())  # a drain may have less time
+        for attempt in list(pending.attempts):
             if not attempt.ended:
                 self.upstreams.give_up(attempt, Outcome.TIMEOUT)
-        self._give_up(held)
+        self._give_up(pending)
 
     # The module's actions
 
     def _send(self, action: api.Send) -> None:
-        held = self.held.get(action.request)
-        if held is None:
-            log.error("the decision module sent a request that is not held")
+        pending = self.pending.get(action.request)
+        if pending is None:
+            log.error("the decision module sent a request that is not pending")
             return
         now, endpoint = self.clock.now(), self.discovery.endpoints.get(action.host)
-        number = len(held.attempts)
-        held.out += 1
+        number = len(pending.attempts)
+        pending.out += 1
         if endpoint is None:
-            attempt = Attempt(action.host, ("", 0), lambda: None, partial(self._done, held), number, now)
-            held.attempts.append(attempt)
+            attempt = Attempt(action.host, ("", 0), lambda: None, partial(self._done, pending), number, now)
+            pending.attempts.append(attempt)
             attempt.end(Outcome.NOT_SENT)
             return
-        until = min(action.deadline or held.expires_at, held.expires_at)
+        until = min(action.deadline or pending.expires_at, pending.expires_at)
 
         def payload() -> bytes | None:
-            if held.exchange.connection.gone():
-                self.client_left(held.exchange)
-            if held.answered or not self._may_go(endpoint):
+            if pending.exchange.connection.gone():
+                self.client_left(pending.exchange)
+            if pending.answered or not self._may_go(endpoint):
                 return None
             left = until - self.clock.now()
-            return self._payload(held, left) if left > 0 else None
+            return self._payload(pending, left) if left > 0 else None
 
-        attempt = Attempt(action.host, endpoint.address, payload, partial(self._done, held), number, now)
+        attempt = Attempt(action.host, endpoint.address, payload, partial(self._done, pending), number, now)
         attempt.started_at = endpoint.server.started_at
-        held.attempts.append(attempt)
-        if until < held.expires_at - TIMER:
+        pending.attempts.append(attempt)
+        if until < pending.expires_at - TIMER:
             attempt.timer = self.loop.call_later(
                 max(0.0, until - now), self.upstreams.give_up, attempt, Outcome.TIMEOUT
             )
@@ -316,8 +320,8 @@
         return endpoint is not None and endpoint.place == chosen.place and not endpoint.leaving
 
     @staticmethod
-    def _payload(held: PendingRequest, left: float) -> bytes:
-        exchange = held.exchange
+    def _payload(pending: PendingRequest, left: float) -> bytes:
+        exchange = pending.exchange
         body = exchange.body
         length = b"Content-Length: %d\r\n" % len(body) if body or exchange.method != b"GET" else b""
         return b"%b %b HTTP/1.1\r\n%bX-Timeout: %.3f\r\n%b\r\n%b" % (
@@ -329,41 +333,47 @@
             body,
         )
 
-    def _done(self, held: PendingRequest, attempt: Attempt, outcome: Outcome, answer: Answer | None) -> None:
+    def _done(
+        self, pending: PendingRequest, attempt: Attempt, outcome: Outcome, answer: Answer | None
+    ) -> None:
         """An attempt's one outcome; the first whole answer goes to the client at once."""
-        held.out -= 1
-        held.may_have_run = held.may_have_run or outcome not in NOT_RUN
-        held.timed_out = outcome is Outcome.TIMEOUT
-        if outcome is Outcome.OK and answer and not held.answered:
-            held.answered = True
-            held.exchange.reply(200, answer.body, answer.headers)
+        pending.out -= 1
+        pending.may_have_run = pending.may_have_run or outcome not in NOT_RUN
+        pending.timed_out = outcome is Outcome.TIMEOUT
+        if outcome is Outcome.OK and answer and not pending.answered:
+            pending.answered = True
+            pending.exchange.reply(200, answer.body, answer.headers)
         self.feed(
             api.AttemptDone(
-                request=held.arrival.id,
+                request=pending.arrival.id,
                 attempt=attempt.number,
                 outcome=outcome,
                 delay=self.clock.now() - attempt.sent_at,
-                request_done=held.answered,
+                request_done=pending.answered,
                 usage=answer.usage if answer else None,
                 units=answer.units if answer and outcome is Outcome.OK else None,
                 load_report=answer.report if answer else (),
                 connection_broken=attempt.broke,
             )
         )
-        self._forget(held)
+        self._forget(pending)
 
     def _cancel(self, action: api.Cancel) -> None:
-        held = self.held.get(action.request)
-        if held and 0 <= action.attempt < len(held.attempts) and not held.attempts[action.attempt].ended:
-            self.upstreams.give_up(held.attempts[action.attempt], Outcome.CANCELLED)
+        pending = self.pending.get(action.request)
+        if (
+            pending
+            and 0 <= action.attempt < len(pending.attempts)
+            and not pending.attempts[action.attempt].ended
+        ):
+            self.upstreams.give_up(pending.attempts[action.attempt], Outcome.CANCELLED)
 
     def _refuse(self, action: api.Refuse) -> None:
-        if held := self.held.get(action.request):
-            self._finish(held, 503, retry_after=action.retry_after)
+        if pending := self.pending.get(action.request):
+            self._finish(pending, 503, retry_after=action.retry_after)
 
     def _fail(self, action: api.Fail) -> None:
-        if held := self.held.get(action.request):
-            self._finish(held, 504 if held.timed_out else 502)
+        if pending := self.pending.get(action.request):
+            self._finish(pending, 504 if pending.timed_out else 502)
 
     def _set_timer(self, action: api.SetTimer) -> None:
         self.delays[action.token] = action.delay
@@ -434,8 +444,8 @@
             self._ended()
 
     def _end(self) -> None:
-        for held in list(self.held.values()):
-            self._expire(held)
+        for pending in list(self.pending.values()):
+            self._expire(pending)
         self.server.close_idle()
         self.loop.call_later(FLUSH, self._end_when_answered, MORE_STEPS)
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -30,7 +30,7 @@
 from coralvale import interface as api
 from coralvale.net.config import Place
 from coralvale.net.discovery import TURNS, Discovery
-from coralvale.net.node import TOLD
+from coralvale.net.node import MAX_PROPAGATION_DELAY_S
 
 News = tuple[api.ListKind, tuple[api.HostInfo, ...], list[Place]]
 
@@ -271,7 +271,7 @@
             if any(s.state is api.HostState.DRAINING for s in servers) and not heard.done():
                 heard.set_result(loop.time())
 
-        limits = {"callers": callers, "grace": 1.0, "told_within": TOLD}
+        limits = {"callers": callers, "grace": 1.0, "max_propagation_delay": MAX_PROPAGATION_DELAY_S}
         discovery = Discovery(agent.address, (), (), on_change, **limits)
         discovery.random = Longest()
         discovery.apply({"index": 41, "endpoints": [entry("s-1", 1)]}, cached=True)
@@ -292,7 +292,7 @@
             worst = max(worst, await test(9.0 + step * 0.37))
 
         run_jumping(phased())
-    assert turn <= worst < TOLD
+    assert turn <= worst < MAX_PROPAGATION_DELAY_S
 
 
 def test_a_watch_that_falls_silent_soon_after_its_answer_is_noticed_as_soon(
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -73,7 +73,7 @@
             assert message.headers[b"content-type"] == b"a/b" and b"usage-percent" not in message.headers
             done = await w.done()
             assert (done.attempt, done.outcome, done.request_done, done.usage) == (0, Outcome.OK, True, 0.85)
-            assert not w.node.held
+            assert not w.node.pending
         host.stop()
 
     run(test())
@@ -93,7 +93,7 @@
             assert [d.attempt for d in w.script.of(api.AttemptDone)] == [0, 1, 2]
             outcomes = [d.outcome for d in w.script.of(api.AttemptDone)]
             assert outcomes == [Outcome.FULL, Outcome.RESET, Outcome.NOT_SENT]
-            assert not done.request_done and not w.node.held
+            assert not done.request_done and not w.node.pending
         host.stop()
 
     run(test())
@@ -109,7 +109,7 @@
             send_all(w, "s-1")
             assert (await w.ask(request("r2", X_Timeout="0.1"))).status == 504
             assert (await w.done(3)).outcome is Outcome.TIMEOUT
-            await until(lambda: not w.node.held)
+            await until(lambda: not w.node.pending)
         host.stop()
 
     run(test())
@@ -138,10 +138,10 @@
             arrived = await host.next()
             client.close()
             await until(lambda: w.script.of(api.RequestAbandoned))
-            assert w.node.held and not w.script.of(api.AttemptDone)
+            assert w.node.pending and not w.script.of(api.AttemptDone)
             arrived.reply(answer())
             done = await w.done()
-            assert done.outcome is Outcome.OK and done.request_done and not w.node.held
+            assert done.outcome is Outcome.OK and done.request_done and not w.node.pending
         host.stop()
 
     run(test())
@@ -218,7 +218,7 @@
                     arrived = await first.next()
                     descriptor = arrived.writer.get_extra_info("socket").fileno()
                     os.write(descriptor, answer(503, X_Not_Processed="1"))
-            await until(lambda: w.script.of(api.RequestAbandoned) and not w.node.held)
+            await until(lambda: w.script.of(api.RequestAbandoned) and not w.node.pending)
             assert w.script.of(api.AttemptDone)[-1].outcome is Outcome.NOT_SENT
             assert host.arrived.qsize() == 1  # the one before
         host.stop()
@@ -247,7 +247,7 @@
                 await w.done(PIPELINED)
                 assert {e.outcome for e in w.script.of(api.AttemptDone)} == {Outcome.NOT_SENT}
                 assert host.arrived.empty()
-            await until(lambda: len(w.script.of(api.RequestAbandoned)) == PIPELINED and not w.node.held)
+            await until(lambda: len(w.script.of(api.RequestAbandoned)) == PIPELINED and not w.node.pending)
         host.stop()
 
     run(test())
@@ -276,7 +276,7 @@
             client.send(request("r3", "read"))
             (await host.next()).reply(answer(500))
             assert (await client.receive()).status == 503
-            assert not w.node.held
+            assert not w.node.pending
             w.script.on(api.TimerFired, fail)
             w.node.actions[api.SetTimer](api.SetTimer(0, 0.01))
             await until(lambda: len(w.script.of(api.TimerFired)) >= 3)
@@ -340,7 +340,7 @@
                 pass
             for i in range(50, 100):
                 assert (await client.ask(request(f"r{i}"))).status in (200, 503)
-            assert not w.node.held and not w.node.gateway.requests
+            assert not w.node.pending and not w.node.gateway.requests
             assert sum(h.arrived.qsize() for h in hosts) >= 50
         for host in hosts:
             host.stop()
@@ -424,7 +424,7 @@
             assert [e.request for e in w.script.of(api.RequestAbandoned)] == ["r3"]
             third.reply(answer(body=b"late"))
             done = await w.done(2)
-            assert done.request == "r3" and not w.node.held
+            assert done.request == "r3" and not w.node.pending
         host.stop()
 
     run(test())
@@ -799,7 +799,7 @@
         async with world(ceilings=ceilings, classes=short(0.3), sockets=64) as w:
             first, second = await w.client(), await w.client()
             first.send(request("r1"))
-            await until(lambda: w.node.held)
+            await until(lambda: w.node.pending)
             refusals = [await second.ask(request("r2")), await first.receive()]
             w.node.server.most = 0
             w.script.on(api.Request, lambda e: [])
@@ -878,9 +878,9 @@
             first.send(request("r1", **sets))
             await soon(started.wait())
             first.close()
-            await until(lambda: w.node.held["r1"].answered)
+            await until(lambda: w.node.pending["r1"].answered)
             go.set()
-            await until(lambda: not w.node.held)
+            await until(lambda: not w.node.pending)
             assert host.arrived.empty()
             assert (await second.ask(request("r2", **sets))).body == b"done"
             assert (await second.ask(request("r3", **sets))).status == 503
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -36,7 +36,7 @@
 from coralvale.adapter import read_settings
 from coralvale.net.clock import Clock
 from coralvale.net.config import ConfigError, flatten, parse_config, read_config
-from coralvale.net.node import TOLD
+from coralvale.net.node import MAX_PROPAGATION_DELAY_S
 from testbed.standins.ports import free_port
 
 READY_WITHIN = 10.0  # s, as the standing test wants it of nine in ten
@@ -251,7 +251,9 @@
         for client in idle:
             client.send(b"GET /up HTTP/1.1\r\n\r\n")
         assert (await idle[0].receive()).status == 200
-        async with asyncio.timeout(TOLD):  # they stay, and take each place that becomes free
+        async with asyncio.timeout(
+            MAX_PROPAGATION_DELAY_S
+        ):  # they stay, and take each place that becomes free
             await registry.start(agent)
             watch = await registry.watch()
             watch.reply(chunk(line(2, entry("s-1", host.port))))
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -154,7 +154,7 @@
             client.close()
             await until(lambda: w.script.of(api.RequestAbandoned))
             assert w.script.of(api.RequestAbandoned) == [api.RequestAbandoned("r1")]
-            assert not w.node.held
+            assert not w.node.pending
             half = await w.client()
             half.send(request("r2")[:-10])
             half.close()
@@ -181,7 +181,7 @@
         async with world(ceilings={"most_held": 2}) as w:
             client = await w.client()
             client.send(request("r1") + request("r2"))
-            await until(lambda: len(w.node.held) == 2)
+            await until(lambda: len(w.node.pending) == 2)
             message = await w.ask(request("r3"))
             assert message.status == 503 and message.headers[b"retry-after"] == b"0.500"
             assert len(w.script.of(api.Request)) == 2
@@ -203,11 +203,11 @@
             w.script.on(api.Request, lambda e: [])
             second.send(request("r4"))
             third.send(request("r5"))
-            await until(lambda: len(w.node.held) == 2)
+            await until(lambda: len(w.node.pending) == 2)
             surplus = await w.client()
             message = await surplus.ask(request("r6"))
             assert message.status == 503 and message.headers[b"connection"] == b"close"
-            assert await surplus.at_end() and len(w.node.held) == 2
+            assert await surplus.at_end() and len(w.node.pending) == 2
 
     run(test())
 
@@ -224,22 +224,22 @@
             w.node.server.most, w.node.server.surplus = 1, 0
             first = await w.client()
             first.send(request("r1"))
-            await until(lambda: len(w.node.held) == 1)
+            await until(lambda: len(w.node.pending) == 1)
             second = await w.client()
             sent_at = w.node.clock.now()
             second.send(request("r2"))
             await until(lambda: w.node.clock.now() > sent_at + 0.2)
             first.close()
-            await until(lambda: "r2" in w.node.held)
+            await until(lambda: "r2" in w.node.pending)
             (_, event) = w.script.of(api.Request)
             assert event.expires_at <= sent_at + 30.0
             assert event.expires_at > sent_at + 29.0
             third = await w.client()
             second.close()
-            await until(lambda: not w.node.held)
+            await until(lambda: not w.node.pending)
             third.send(request("r3"))
             sent_at = w.node.clock.now()
-            await until(lambda: "r3" in w.node.held)
+            await until(lambda: "r3" in w.node.pending)
             assert w.script.of(api.Request)[-1].expires_at > sent_at + 29.0
 
     run(test())
@@ -394,7 +394,7 @@
             await until(lambda: w.node.ready)
             assert await up(client) == 200
 
-    monkeypatch.setattr("coralvale.net.node.READY", 60.0)  # it is the list that makes it ready
+    monkeypatch.setattr("coralvale.net.node.READY_TIMEOUT_S", 60.0)  # it is the list that makes it ready
     run(test())
 
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -38,13 +38,13 @@
     async def test() -> None:
         told: list[int] = []
         discovery = Discovery(("127.0.0.1", 1), (), (), lambda _, servers, __: told.append(len(servers)))
-        watch = discovery.connection = Watch(discovery)
+        watch = discovery.watch = Watch(discovery)
         names = [f's-{i:08x} "{{[' for i in range(SIZE)]  # brackets in a string are none
         message = {"index": 42, "snapshot": True, "endpoints": [entry(n, 1 + i) for i, n in enumerate(names)]}
         text = json.dumps(message, indent=indent).encode() + b"\n"
         for start in range(0, len(text), piece):
             watch.on_body(text[start : start + piece])
-        assert told == [SIZE] and set(discovery.endpoints) == set(names) and not watch.broken
+        assert told == [SIZE] and set(discovery.endpoints) == set(names) and not watch.malformed
         assert sum(decoded) <= 2 * len(text)
 
     monkeypatch.setattr("coralvale.net.discovery.DECODER", Counting())
