--- a/coralvale/__main__.py
+++ b/coralvale/__main__.py
@@ -18,19 +18,19 @@
 log = logging.getLogger(__name__)
 
 
-class Sparing(logging.Filter):
+class RateLimitFilter(logging.Filter):
     """Lets through a few lines of a kind in some seconds: a fault in every request must not fill the log."""
 
-    def __init__(self, most: int = 5, seconds: float = 10.0) -> None:
+    def __init__(self, max_lines: int = 5, period: float = 10.0) -> None:
         super().__init__()
-        self.most, self.seconds, self.since = most, seconds, time.monotonic()
+        self.max_lines, self.period, self.period_start = max_lines, period, time.monotonic()
         self.counts: dict[object, int] = {}
 
     def filter(self, record: logging.LogRecord) -> bool:
-        if time.monotonic() - self.since > self.seconds:
-            self.since, self.counts = time.monotonic(), {}
+        if time.monotonic() - self.period_start > self.period:
+            self.period_start, self.counts = time.monotonic(), {}
         count = self.counts[record.msg] = self.counts.get(record.msg, 0) + 1
-        return count <= self.most
+        return count <= self.max_lines
 
 
 def reload(node: Node, path: str) -> None:
@@ -47,11 +47,11 @@
     """Remembers a SIGHUP that comes ahead of the event loop: the file may have been read before it."""
 
     def __init__(self) -> None:
-        self.asked = False
-        signal.signal(signal.SIGHUP, self._note)
+        self.requested = False
+        signal.signal(signal.SIGHUP, self._on_sighup)
 
-    def _note(self, *_: object) -> None:
-        self.asked = True
+    def _on_sighup(self, *_: object) -> None:
+        self.requested = True
 
 
 async def serve(config: Config, path: str, early: EarlyReload) -> None:
@@ -61,7 +61,7 @@
         loop.add_signal_handler(number, node.stop)
     loop.add_signal_handler(signal.SIGHUP, reload, node, path)
     node.start()
-    if early.asked:
+    if early.requested:
         reload(node, path)
     # What start-up made lives for good: collecting it again and again would only cost time.
     gc.collect()
@@ -70,7 +70,7 @@
     node.close()
 
 
-async def serve_to_the_end(config: Config, path: str, early: EarlyReload) -> None:
+async def serve_until_exit(config: Config, path: str, early: EarlyReload) -> None:
     """Serves; from then on no signal interrupts what is left: the loop will restore their default effects."""
     await serve(config, path, early)
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP, signal.SIGTERM, signal.SIGINT})
@@ -78,7 +78,7 @@
 
 def main() -> int:
     logging.basicConfig(level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s", stream=sys.stderr)
-    logging.getLogger().handlers[0].addFilter(Sparing())
+    logging.getLogger().handlers[0].addFilter(RateLimitFilter())
     # libuv's io_uring comes with a kernel thread that polls: with less than a core it used all there was.
     os.environ.setdefault("UV_USE_IO_URING", "0")
     early = EarlyReload()
@@ -87,7 +87,7 @@
         print("coralvale: LB_CONFIG is not set", file=sys.stderr)
         return 2
     try:
-        uvloop.run(serve_to_the_end(read_config(path), path, early))
+        uvloop.run(serve_until_exit(read_config(path), path, early))
     except ConfigError as error:
         print(f"coralvale: {error}", file=sys.stderr)
         return 2
--- a/coralvale/net/discovery.py
+++ b/coralvale/net/discovery.py
@@ -19,25 +19,26 @@
 
 log = logging.getLogger(__name__)
 
-SILENT = 3.5  # s without a line, of which one is due every 2 s, after which a watch is dead
-ANSWER = 1.5  # s that the agent, which answers at once, may take for the head of its answer
-TURNS = 2.0  # s that a call waits in a line, at the most, before it fails there
-PATIENCE = 2.5  # s for an answer where calls wait in a line: one left early is served all the same, and fails
-TURN = 0.16  # s between the fleet's calls to a discovery that serves them in a line, so that it stays short
-CONNECT = 1.0  # s for a connection to the agent, which is on this machine
-CONNECT_LINE = 0.5  # s for it where the calls of a fleet wait in a line: the time to be told is for the line
-LATE = 0.25  # s of the time to be told that is kept, as the loop may be late
-MOVED = 4.0  # s after a move in which what the new agent has counts as told
-BACKOFF, MOST_BACKOFF = 0.05, 1.0  # s before the next try, doubled each time, and jittered
-JITTER = 0.5  # share by which a pause is longer or shorter
-STEPS = 4  # a try to connect, one for an answer, a pause: together they stay under the drain's own limit
-SHORTEST = 0.1  # s that each of these has however short that limit is: the loop may be late by as much
-LOOK = 0.1  # s between looks at a watch at the least
-MAX_MESSAGE = 8 * 1024 * 1024  # bytes of a list: thousands of hosts, indented
-DEPTH = re.compile(rb'"(?:[^"\\]|\\.)*"|([\[{])|([\]}])')  # strings hold no line ends, but may hold braces
+MAX_SILENCE_S = 3.5  # without a line on a watch before it counts as dead; one is due every 2 s
+RESPONSE_TIMEOUT_S = 1.5  # for the response head of an agent that answers each call at once
+MAX_QUEUE_WAIT_S = 2.0  # in discovery's queue, after which discovery fails the call
+QUEUED_RESPONSE_TIMEOUT_S = 2.5  # longer, as an abandoned call would still take its turn in the queue
+CALL_SPACING_S = 0.16  # between the gateways' calls, so that discovery's queue stays short
+CONNECT_TIMEOUT_S = 1.0  # to the agent, which runs on this machine
+QUEUED_CONNECT_TIMEOUT_S = 0.5  # shorter, to leave more of the propagation delay for the queue
+LOOP_DELAY_MARGIN_S = 0.25  # of the propagation delay, reserved as the event loop may be late
+MOVED_PROPAGATION_DELAY_S = 4.0  # maximum propagation delay after the agent's address has changed
+MIN_BACKOFF_S, MAX_BACKOFF_S = 0.05, 1.0  # before the next call, doubled after each failure
+JITTER = 0.5  # share of the backoff by which it is randomly shortened or lengthened
+GRACE_SHARES = 4  # of the drain grace: one each for connecting, the response and the pause, one spare
+MIN_GRACE_SHARE_S = 0.1  # however short the drain grace is, as the event loop may be late by as much
+MIN_POLL_S = 0.1  # between checks whether a watch has fallen silent
+MAX_MESSAGE_BYTES = 8 * 1024 * 1024  # room for thousands of hosts, indented
+# Strings are matched whole, so that brackets in them do not count; none of them spans lines.
+STRING_OR_BRACKET = re.compile(rb'"(?:[^"\\]|\\.)*"|([\[{])|([\]}])')
 EMPTY_LINE = re.compile(r"\n[ \t\r]*\n")
 DECODER = json.JSONDecoder()
-STATES = {
+HOST_STATES = {
     "active": api.HostState.HEALTHY,
     "leaving": api.HostState.DRAINING,
     "left": api.HostState.GONE,
@@ -48,16 +49,16 @@
 class Endpoint:
     """A listed host: what the module knows of it, and its address here."""
 
-    server: api.HostInfo
+    host: api.HostInfo
     address: Address
 
     @property
     def place(self) -> Place:
-        return self.server.id, self.server.started_at, self.address
+        return self.host.id, self.host.started_at, self.address
 
     @property
-    def leaving(self) -> bool:
-        return self.server.state is api.HostState.DRAINING
+    def draining(self) -> bool:
+        return self.host.state is api.HostState.DRAINING
 
 
 class Discovery:
@@ -69,9 +70,9 @@
         zones: tuple[str, ...],
         kinds: tuple[str, ...],
         on_change: Callable[[api.ListKind, tuple[api.HostInfo, ...], list[Place]], None],
-        silent: float = SILENT,
-        callers: int = 0,
-        grace: float = math.inf,
+        max_silence: float = MAX_SILENCE_S,
+        queued_callers: int = 0,
+        drain_grace: float = math.inf,
         max_propagation_delay: float = math.inf,
     ) -> None:
         """`callers`: how many gateways' calls wait in one line; nought where each is answered at once.
@@ -83,27 +84,40 @@
         longer.
         """
         self.address, self.on_change = address, on_change
-        self.max_propagation_delay = self.within = max_propagation_delay
-        self.spread = TURN * callers
-        if callers:
-            self.connect_time, self.patience, self.answer = CONNECT_LINE, PATIENCE, TURNS
-            self.most_backoff = MOST_BACKOFF
+        self.max_propagation_delay = self.propagation_limit = max_propagation_delay
+        self.call_spread = CALL_SPACING_S * queued_callers
+        if queued_callers:
+            self.connect_timeout, self.response_timeout, self.max_response_time = (
+                QUEUED_CONNECT_TIMEOUT_S,
+                QUEUED_RESPONSE_TIMEOUT_S,
+                MAX_QUEUE_WAIT_S,
+            )
+            self.max_backoff = MAX_BACKOFF_S
         else:
-            step = max(SHORTEST, grace / STEPS)
-            self.connect_time, self.patience = min(CONNECT, step), min(silent, ANSWER, step)
-            self.answer, self.most_backoff = self.patience, min(MOST_BACKOFF, step / (1 + JITTER))
+            share = max(MIN_GRACE_SHARE_S, drain_grace / GRACE_SHARES)
+            self.connect_timeout, self.response_timeout = (
+                min(CONNECT_TIMEOUT_S, share),
+                min(max_silence, RESPONSE_TIMEOUT_S, share),
+            )
+            self.max_response_time, self.max_backoff = (
+                self.response_timeout,
+                min(MAX_BACKOFF_S, share / (1 + JITTER)),
+            )
         # What is left when silence is noticed has to be enough for a pause, a connect and an answer.
-        self.silent = min(silent, max_propagation_delay - self.connect_time - self.answer - 2 * LATE)
+        self.max_silence = min(
+            max_silence,
+            max_propagation_delay - self.connect_timeout - self.max_response_time - 2 * LOOP_DELAY_MARGIN_S,
+        )
         self.zones = {name: i for i, name in enumerate(zones)}
         self.kinds = {name: i for i, name in enumerate(kinds)}
         self.endpoints: dict[str, Endpoint] = {}
         self.index: int | None = None
         self.random = random.Random()
         self.watch: Watch | None = None
-        self.backoff = BACKOFF
-        self.since = math.inf  # from when on discovery may have had what it has not told
+        self.backoff = MIN_BACKOFF_S
+        self.stale_since = math.inf  # from when on discovery may have had what it has not told
         self.moved = asyncio.Event()  # set when the address has changed: there is nothing to wait for
-        self.on_answer: Callable[[], None] | None = None  # called when a watch has been answered
+        self.on_response: Callable[[], None] | None = None  # called when a watch has been answered
 
     def apply(self, message: dict[str, Any], cached: bool = False) -> None:
         """Merges one message into the list; an entry that cannot be read is left out and named in the log."""
@@ -115,41 +129,41 @@
         before, listed = self.endpoints, {} if full else dict(self.endpoints)
         for entry in entries:
             try:
-                endpoint = self._read(entry)
+                endpoint = self._read_entry(entry)
             except (KeyError, ValueError, TypeError, AttributeError, OverflowError) as error:
                 log.warning("discovery: cannot use entry %.200r: %r", entry, error)
                 known = isinstance(entry, dict) and before.get(str(entry.get("name")))
                 if not (full and known):
                     continue
                 endpoint = known  # one bad field must not take a host from the list
-            name = endpoint.server.id
-            changed.append(endpoint.server)
-            if endpoint.server.state is api.HostState.GONE:
+            name = endpoint.host.id
+            changed.append(endpoint.host)
+            if endpoint.host.state is api.HostState.GONE:
                 listed.pop(name, None)
                 continue
             listed[name] = endpoint
         self.endpoints = listed
         # A host that drains, has gone, restarted or moved: connections kept to it serve nothing new.
-        stale = [old.place for name, old in before.items() if self._replaced(old, listed.get(name))]
+        retired = [old.place for name, old in before.items() if self._is_retired(old, listed.get(name))]
         # Without an index that can be read, the next watch begins with the whole list.
         self.index = index if type(index) is int and index >= 0 else None
         if cached or full or changed:
             kind = api.ListKind.CACHED if cached else api.ListKind.FULL if full else api.ListKind.CHANGES
-            self.on_change(kind, tuple(changed), stale)
+            self.on_change(kind, tuple(changed), retired)
 
     @staticmethod
-    def _replaced(old: Endpoint, new: Endpoint | None) -> bool:
-        if new is None or new.leaving or new.address != old.address:
+    def _is_retired(old: Endpoint, new: Endpoint | None) -> bool:
+        if new is None or new.draining or new.address != old.address:
             return True
-        return new.server.started_at != old.server.started_at
+        return new.host.started_at != old.host.started_at
 
-    def _read(self, entry: dict[str, Any]) -> Endpoint:
-        state = STATES[entry["status"]]
+    def _read_entry(self, entry: dict[str, Any]) -> Endpoint:
+        state = HOST_STATES[entry["status"]]
         gone = state is api.HostState.GONE
         weight, since = float(entry.get("weight", 1.0)), float(entry.get("since_ms") or 0)
         if not (math.isfinite(weight) and math.isfinite(since)):
             raise ValueError("weight or since_ms: no finite number")
-        server = api.HostInfo(
+        host = api.HostInfo(
             id=str(entry["name"]),
             state=state,
             scale=weight,
@@ -158,7 +172,7 @@
             kind=self.kinds.get(entry.get("type", ""), -1),
             started_at=since / 1000,
         )
-        return Endpoint(server, ("", 0) if gone else read_address(entry["address"]))
+        return Endpoint(host, ("", 0) if gone else read_address(entry["address"]))
 
     def follow(self) -> None:
         """Asks for what changes from now on: the watch does, and begins anew whenever it is lost."""
@@ -174,17 +188,19 @@
 
         The list stays as it is until the new agent has told its own.
         """
-        self.address, self.backoff = address, BACKOFF
-        self.within = min(self.max_propagation_delay, MOVED)
+        self.address, self.backoff = address, MIN_BACKOFF_S
+        self.propagation_limit = min(self.max_propagation_delay, MOVED_PROPAGATION_DELAY_S)
         self.refresh()
         self.moved.set()
 
     async def run(self) -> None:
         """Watches for good. Nothing that goes wrong in one watch may end this: the list would age unseen."""
         loop = asyncio.get_running_loop()
-        self.since = loop.time()
-        if self.spread and self.endpoints:  # gateways that were restarted together have a list to begin with
-            await asyncio.sleep(self._pause(self.since))
+        self.stale_since = loop.time()
+        if (
+            self.call_spread and self.endpoints
+        ):  # gateways that were restarted together have a list to begin with
+            await asyncio.sleep(self._retry_delay(self.stale_since))
         while True:
             self.moved.clear()
             watching = asyncio.ensure_future(self._run_watch())
@@ -196,48 +212,55 @@
                 if error := watching.exception():
                     log.error("discovery: a watch failed", exc_info=error)
                 useful = not error and watching.result()
-                self.backoff = BACKOFF if useful else min(2 * self.backoff, self.most_backoff)
-                await asyncio.wait([moved], timeout=self._pause(loop.time()))
+                self.backoff = MIN_BACKOFF_S if useful else min(2 * self.backoff, self.max_backoff)
+                await asyncio.wait([moved], timeout=self._retry_delay(loop.time()))
             finally:
                 watching.cancel()
                 moved.cancel()
 
-    def _pause(self, now: float) -> float:
+    def _retry_delay(self, now: float) -> float:
         """Jittered, so that gateways that lost discovery together do not come back together.
 
         However often calls have failed, it leaves time to connect and be answered before what discovery may
         have since the last of them counts as told.
         """
-        left = self.since + self.within - LATE - self.connect_time - self.answer - now
-        most = max(0.0, min(self.backoff * (1 + JITTER) + self.spread, left))
-        return self.random.uniform(min(self.backoff * (1 - JITTER), most), most)
+        left = (
+            self.stale_since
+            + self.propagation_limit
+            - LOOP_DELAY_MARGIN_S
+            - self.connect_timeout
+            - self.max_response_time
+            - now
+        )
+        longest = max(0.0, min(self.backoff * (1 + JITTER) + self.call_spread, left))
+        return self.random.uniform(min(self.backoff * (1 - JITTER), longest), longest)
 
     async def _run_watch(self) -> bool:
         """Follows one watch to its end; tells whether it was of any use."""
         loop = asyncio.get_running_loop()
         watch = self.watch = Watch(self)
-        self.since = loop.time()
+        self.stale_since = loop.time()
         try:
-            async with asyncio.timeout(self.connect_time):
+            async with asyncio.timeout(self.connect_timeout):
                 await loop.create_connection(lambda: watch, *self.address)
         except (OSError, TimeoutError):
             watch.close()
             return False
-        while not watch.lost.done():
+        while not watch.closed.done():
             # A watch cut off on the way stays open and says nothing for good.
-            limit = self.silent if watch.answered else self.patience
-            left = watch.heard_at + limit - loop.time()
+            limit = self.max_silence if watch.responded else self.response_timeout
+            left = watch.last_received_at + limit - loop.time()
             if left <= 0:
                 log.warning("discovery: nothing heard for %.1f s, watching anew", limit)
-                watch.silent = True
+                watch.timed_out = True
                 watch.close()
             # No longer than it may be silent: it may be answered, and fall silent, while this waits.
-            await asyncio.wait([watch.lost], timeout=max(min(left, self.silent), LOOK))
-        useful = watch.heard and not watch.malformed
-        if watch.answered:  # one that was of use has told all until it was lost
-            self.since = loop.time() if useful and not watch.silent else watch.heard_at
+            await asyncio.wait([watch.closed], timeout=max(min(left, self.max_silence), MIN_POLL_S))
+        useful = watch.received and not watch.malformed
+        if watch.responded:  # one that was of use has told all until it was lost
+            self.stale_since = loop.time() if useful and not watch.timed_out else watch.last_received_at
         if useful:
-            self.within = self.max_propagation_delay
+            self.propagation_limit = self.max_propagation_delay
         return useful
 
 
@@ -245,20 +268,20 @@
     """One watch: a chunked answer of JSON objects, and of empty lines while nothing changes."""
 
     def __init__(self, owner: Discovery) -> None:
-        self.owner, self.rest = owner, b""
-        self.answered = self.heard = self.malformed = False
-        self.silent = False  # it said nothing for too long
-        self.begun = False  # whether `rest` holds lines of a message that has not come whole
-        self.counted = self.depth = 0  # bytes of `rest` looked at for brackets, and those left open there
+        self.owner, self.buffer = owner, b""
+        self.responded = self.received = self.malformed = False
+        self.timed_out = False  # it said nothing for too long
+        self.partial = False  # whether `rest` holds lines of a message that has not come whole
+        self.scanned = self.depth = 0  # bytes of `rest` looked at for brackets, and those left open there
         self.transport: asyncio.Transport | None = None
         loop = asyncio.get_running_loop()
-        self.lost: asyncio.Future[None] = loop.create_future()
+        self.closed: asyncio.Future[None] = loop.create_future()
         self.clock = loop.time
-        self.heard_at = loop.time()
+        self.last_received_at = loop.time()
 
     def connection_made(self, transport: Any) -> None:  # noqa: ANN401
         self.transport = transport
-        self.heard_at = self.clock()
+        self.last_received_at = self.clock()
         self.parser = httptools.HttpResponseParser(self)
         after = "" if self.owner.index is None else f"&index={self.owner.index}"
         host, port = self.owner.address
@@ -275,36 +298,36 @@
     def on_headers_complete(self) -> None:
         if self.parser.get_status_code() != 200:
             raise ValueError(f"status {self.parser.get_status_code()}")
-        self.heard_at, self.answered = self.clock(), True
-        if self.owner.on_answer:
-            self.owner.on_answer()
+        self.last_received_at, self.responded = self.clock(), True
+        if self.owner.on_response:
+            self.owner.on_response()
 
     def on_body(self, body: bytes) -> None:
         if self.owner.watch is not self:  # what an agent left behind still had to say
             self.close()
             return
-        self.heard_at, self.heard = self.clock(), True
-        self.rest += body
-        if len(self.rest) > MAX_MESSAGE:
+        self.last_received_at, self.received = self.clock(), True
+        self.buffer += body
+        if len(self.buffer) > MAX_MESSAGE_BYTES:
             raise ValueError("a message without end")
         # An indented message is not read again with each line, but where its end or an empty line has come.
-        if b"\n" in body and (not self.begun or not body.strip() or self._closed()):
-            self._read()
+        if b"\n" in body and (not self.partial or not body.strip() or self._may_be_complete()):
+            self._read_messages()
         if self.malformed:
             self.close()
 
-    def _closed(self) -> bool:
+    def _may_be_complete(self) -> bool:
         """Whether the whole lines close what they open, or a message begins; each line is looked at once."""
-        end = self.rest.rfind(b"\n") + 1
-        begins = self.rest.find(b"\n{", max(0, self.counted - 1), end) >= 0  # behind one that broke off
-        for token in DEPTH.finditer(self.rest, self.counted, end):
+        end = self.buffer.rfind(b"\n") + 1
+        begins = self.buffer.find(b"\n{", max(0, self.scanned - 1), end) >= 0  # behind one that broke off
+        for token in STRING_OR_BRACKET.finditer(self.buffer, self.scanned, end):
             self.depth += bool(token[1]) - bool(token[2])
-        self.counted = end
+        self.scanned = end
         return begins or self.depth <= 0
 
-    def _read(self) -> None:
+    def _read_messages(self) -> None:
         """Takes out the messages that have come whole: an object on one line, or indented over several."""
-        whole, end, unfinished = self.rest.rpartition(b"\n")
+        whole, end, unfinished = self.buffer.rpartition(b"\n")
         text = (whole + end).decode(errors="replace").lstrip()
         while text:
             try:
@@ -315,14 +338,14 @@
                 if early and not EMPTY_LINE.search(text):
                     break
                 size = text.index("\n")
-                self._spoilt(text[:size], error)
+                self._reject(text[:size], error)
             else:
-                self._apply(message)
+                self._apply_message(message)
             text = text[size:].lstrip()
-        self.begun, self.rest = bool(text), text.encode() + unfinished
-        self.counted = self.depth = 0
+        self.partial, self.buffer = bool(text), text.encode() + unfinished
+        self.scanned = self.depth = 0
 
-    def _apply(self, message: Any) -> None:  # noqa: ANN401
+    def _apply_message(self, message: Any) -> None:  # noqa: ANN401
         known = self.owner.index
         try:
             self.owner.apply(message)
@@ -330,11 +353,11 @@
             if known is not None and index is not None and index < known and not message.get("snapshot"):
                 raise ValueError("changes to an older list than the one held")
         except (ValueError, TypeError, AttributeError) as error:
-            self._spoilt(json.dumps(message), error)
+            self._reject(json.dumps(message), error)
         if self.malformed:
             self.owner.index = None
 
-    def _spoilt(self, text: str, error: Exception) -> None:
+    def _reject(self, text: str, error: Exception) -> None:
         """One bad message must not lose the others; what it told is asked for anew, with the whole list."""
         log.warning("discovery: cannot use message %.200r: %r", text, error)
         self.malformed = True
@@ -348,5 +371,5 @@
             self.transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if not self.lost.done():
-            self.lost.set_result(None)
+        if not self.closed.done():
+            self.closed.set_result(None)
--- a/coralvale/net/node.py
+++ b/coralvale/net/node.py
@@ -27,25 +27,25 @@
 
 log = logging.getLogger(__name__)
 
-READY_TIMEOUT_S = 0.25  # s that the answer to the first watch may take; without it the known list must do
-SETTLE = 0.01  # s after that answer for the line that holds what has changed; where nothing has, none comes
-ANSWER_ROOM = 0.05  # s before the client's time is up, kept for writing an answer
-MAX_PROPAGATION_DELAY_S = 6.0  # after which what discovery has counts as told, if it can be reached
-ACCEPT = 0.45  # s after SIGTERM in which new connections go on coming (0.2 to 0.4 s)
-CROSSED = 0.25  # s more, for clients whose request crossed the closing of their idle connection
-DEADLINE = 3.0  # s that a kill leaves for the longest deadline, at most
-KILLED = 0.7  # s after that deadline, from SIGTERM on, before which no kill comes
-BEFORE = 0.35  # s of that time that are left unused, as the process may be late itself
-FLUSH = 0.1  # s for the last answers to leave
-STEP = 0.05  # s between looks at what a drain has left to do
-MORE_STEPS = 4  # of them after FLUSH while answers are owed: with it they stay within BEFORE
-TIMER = 0.001  # s that the loop's timers tell apart
-LOST_TIMER = 1.0  # s until a timer is due that the module was not known to have set
-RESERVE = 64  # descriptors for all but clients and hosts: listener, watch, counter, logs, the loop's own
+READY_TIMEOUT_S = 0.25  # after start, when the gateway is ready even if discovery has not responded
+FIRST_MESSAGE_WAIT_S = 0.01  # after discovery's response head; no message follows if nothing has changed
+RESPONSE_MARGIN_S = 0.05  # before the client's timeout, reserved for writing the response
+MAX_PROPAGATION_DELAY_S = 6.0  # of a change at discovery, while it is reachable, whatever calls have failed
+ACCEPT_AFTER_SIGTERM_S = 0.45  # new connections keep arriving for 0.2 to 0.4 s after SIGTERM
+RECONNECT_GRACE_S = 0.25  # for clients that sent a request while their idle connection was being closed
+MAX_TIMEOUT_BEFORE_KILL_S = 3.0  # upper bound on the class timeout that the supervisor waits for
+KILL_DELAY_S = 0.7  # from the end of that timeout, counted from SIGTERM, to the earliest SIGKILL
+KILL_MARGIN_S = 0.35  # reserved before the earliest SIGKILL, as the event loop may be late
+FLUSH_S = 0.1  # for the last responses to be sent
+DRAIN_POLL_S = 0.05
+MAX_EXTRA_POLLS = 4  # after FLUSH_S while responses are owed; both together stay within KILL_MARGIN_S
+TIMER_RESOLUTION_S = 0.001  # of the event loop
+DEFAULT_TIMER_DELAY_S = 1.0  # for setting a timer again whose delay is not known
+RESERVED_DESCRIPTORS = 64  # for the listener, discovery, the counter, log files and the event loop
 NOT_RUN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
-def descriptors(most: int) -> int:
+def descriptor_limit(most: int) -> int:
     """How many there are: what the configuration allows may be more than the system does.
 
     Clients that take the last one would keep out the watch, the counter and the hosts.
@@ -64,7 +64,7 @@
         "exchange",
         "expires_at",
         "may_have_run",
-        "out",
+        "outstanding",
         "timer",
         "timed_out",
     )
@@ -72,7 +72,7 @@
     def __init__(self, exchange: Exchange, arrival: Arrival, expires_at: float) -> None:
         self.exchange, self.arrival, self.expires_at = exchange, arrival, expires_at
         self.attempts: list[Attempt] = []
-        self.out = 0
+        self.outstanding = 0
         self.answered = self.may_have_run = self.timed_out = False
         self.timer: asyncio.TimerHandle | None = None
 
@@ -85,14 +85,16 @@
         self.gateway = Gateway(config.settings, config.seed)
         self.pending: dict[str, PendingRequest] = {}
         self.ready = False
-        self.ends_at: float | None = None  # after SIGTERM, when all must be answered
-        self.accepting_ended = False
+        self.drain_deadline: float | None = None  # after SIGTERM, when all must be answered
+        self.listener_closed = False
         self.stopped: asyncio.Future[None] = self.loop.create_future()
         self.events: deque[api.Event] = deque()
-        self.handling = False
-        self.delays: dict[int, float] = {}  # the module's timers by token, to set one again that was lost
-        sockets = descriptors(config.sockets)
-        share = (sockets - min(RESERVE, sockets // 4)) // 2  # for clients, and for hosts
+        self.processing = False
+        self.timer_delays: dict[
+            int, float
+        ] = {}  # the module's timers by token, to set one again that was lost
+        sockets = descriptor_limit(config.sockets)
+        share = (sockets - min(RESERVED_DESCRIPTORS, sockets // 4)) // 2  # for clients, and for hosts
         surplus = share // 8
         self.server = Server(config.listen, config.settings, self, share - surplus, surplus)
         self.upstreams = Upstreams(
@@ -102,20 +104,20 @@
             config.discovery,
             config.zones,
             config.kinds,
-            self._listed,
-            callers=config.settings.gateways if config.settings.list_on_request else 0,
-            grace=config.settings.drain_grace,
+            self._on_list_change,
+            queued_callers=config.settings.gateways if config.settings.list_on_request else 0,
+            drain_grace=config.settings.drain_grace,
             max_propagation_delay=MAX_PROPAGATION_DELAY_S,
         )
         self.counter = self._make_counter(config.counter)
-        self.actions: dict[type, Callable[[Any], None]] = {
+        self.action_handlers: dict[type, Callable[[Any], None]] = {
             api.Send: self._send,
             api.Cancel: self._cancel,
             api.Refuse: self._refuse,
             api.Fail: self._fail,
             api.SetTimer: self._set_timer,
             api.Probe: self._probe,
-            api.CounterAdd: self._count,
+            api.CounterAdd: self._counter_add,
             api.FollowList: lambda _: self.discovery.follow(),
             api.FetchList: lambda _: self.discovery.refresh(),
             api.Log: lambda action: log.info("%s", action.text),
@@ -123,16 +125,16 @@
 
     def start(self) -> None:
         self.discovery.apply(self.config.known, cached=True)
-        self.watching = self.loop.create_task(self.discovery.run())
+        self.discovery_task = self.loop.create_task(self.discovery.run())
         self.server.start()
-        self.discovery.on_answer = self._settle
-        self.loop.call_later(READY_TIMEOUT_S, self._be_ready)
+        self.discovery.on_response = self._on_discovery_response
+        self.loop.call_later(READY_TIMEOUT_S, self._set_ready)
 
-    def _settle(self) -> None:
-        self.loop.call_later(SETTLE, self._be_ready)
+    def _on_discovery_response(self) -> None:
+        self.loop.call_later(FIRST_MESSAGE_WAIT_S, self._set_ready)
 
-    def _be_ready(self) -> None:
-        self.ready = self.ends_at is None
+    def _set_ready(self) -> None:
+        self.ready = self.drain_deadline is None
 
     def reload(self, config: Config) -> None:
         """Moves discovery and the counter to their new addresses; clients, hosts and requests go on.
@@ -152,11 +154,11 @@
     def _make_counter(self, address: Address | None) -> Counter | None:
         if address is None:
             return None
-        return Counter(address, self.settings.counter_timeout, self.config.connect_timeout, self.feed)
+        return Counter(address, self.settings.counter_timeout, self.config.connect_timeout, self.dispatch)
 
     def close(self) -> None:
         """Lets go of all sockets, at once."""
-        self.watching.cancel()
+        self.discovery_task.cancel()
         self.server.close()
         self.upstreams.close()
         if self.counter:
@@ -164,19 +166,19 @@
 
     # Events in, actions out
 
-    def feed(self, event: api.Event) -> None:
+    def dispatch(self, event: api.Event) -> None:
         """Hands an event to the module; one that comes of carrying out an action waits its turn."""
         self.events.append(event)
-        if self.handling:
+        if self.processing:
             return
-        self.handling = True
+        self.processing = True
         try:
             while self.events:
-                self._handle(self.events.popleft())
+                self._process(self.events.popleft())
         finally:
-            self.handling = False
+            self.processing = False
 
-    def _handle(self, event: api.Event) -> None:
+    def _process(self, event: api.Event) -> None:
         try:
             actions = self.gateway.handle(self.clock.now(), event)
         except Exception:
@@ -185,24 +187,26 @@
             return
         for action in actions:
             try:
-                self.actions[type(action)](action)
+                self.action_handlers[type(action)](action)
             except Exception:
                 log.exception("cannot carry out %r", action)
 
     def _recover(self, event: api.Event) -> None:
         """The module failed on an event: its request is answered all the same, its timer set again."""
         if isinstance(event, api.TimerFired):
-            self._set_timer(api.SetTimer(event.token, self.delays.get(event.token, LOST_TIMER)))
+            self._set_timer(
+                api.SetTimer(event.token, self.timer_delays.get(event.token, DEFAULT_TIMER_DELAY_S))
+            )
         elif isinstance(event, api.Request):
-            self._give_up(self.pending.get(event.id))
+            self._reply_undecided(self.pending.get(event.id))
         elif (
             isinstance(event, api.AttemptDone)
             and (pending := self.pending.get(event.request))
-            and not pending.out
+            and not pending.outstanding
         ):
-            self._give_up(pending)
+            self._reply_undecided(pending)
 
-    def _give_up(self, pending: PendingRequest | None) -> None:
+    def _reply_undecided(self, pending: PendingRequest | None) -> None:
         """The answer that nobody decided: a refusal only if trying again does no harm, else a failure."""
         if pending is None or pending.answered:
             return
@@ -210,26 +214,26 @@
             pending.may_have_run
             and self.settings.classes[pending.arrival.cls].idempotency is not api.Idempotency.SAFE
         ):
-            self._finish(pending, 504 if pending.timed_out else 502)
+            self._reply(pending, 504 if pending.timed_out else 502)
         else:
-            self._finish(pending, 503, retry_after=self.settings.retry_after_limit)
-        self.feed(api.RequestAbandoned(pending.arrival.id))
+            self._reply(pending, 503, retry_after=self.settings.retry_after_limit)
+        self.dispatch(api.RequestAbandoned(pending.arrival.id))
 
-    def _finish(self, pending: PendingRequest, status: int, **answer: Any) -> None:  # noqa: ANN401
+    def _reply(self, pending: PendingRequest, status: int, **answer: Any) -> None:  # noqa: ANN401
         if not pending.answered:
             pending.answered = True
             pending.exchange.reply(status, **answer)
-            self._forget(pending)
+            self._remove_if_done(pending)
 
-    def _forget(self, pending: PendingRequest) -> None:
-        if pending.answered and not pending.out:
+    def _remove_if_done(self, pending: PendingRequest) -> None:
+        if pending.answered and not pending.outstanding:
             if pending.timer:
                 pending.timer.cancel()
             self.pending.pop(pending.arrival.id, None)
             pending.exchange.held = None  # no cycles are left behind: nothing waits for the collector
             pending.attempts.clear()
-            if self.ends_at is not None:
-                self._end_if_done()
+            if self.drain_deadline is not None:
+                self._stop_if_drained()
 
     # Clients
 
@@ -241,14 +245,14 @@
             exchange.reply(503, retry_after=self.settings.retry_after_limit)
             return
         now = self.clock.now()
-        patience = min(arrival.time_out, self.settings.classes[arrival.cls].timeout)
-        expires_at = now + max(0.0, patience - ANSWER_ROOM)
-        if self.ends_at is not None:
-            expires_at = min(expires_at, self.ends_at)
+        timeout = min(arrival.time_out, self.settings.classes[arrival.cls].timeout)
+        expires_at = now + max(0.0, timeout - RESPONSE_MARGIN_S)
+        if self.drain_deadline is not None:
+            expires_at = min(expires_at, self.drain_deadline)
         pending = PendingRequest(exchange, arrival, expires_at)
         exchange.held = pending
         self.pending[arrival.id] = pending
-        self.feed(
+        self.dispatch(
             api.Request(
                 id=arrival.id,
                 class_index=arrival.cls,
@@ -266,8 +270,8 @@
         pending = exchange.held
         if pending is not None and not pending.answered:
             pending.answered = True
-            self.feed(api.RequestAbandoned(pending.arrival.id))
-            self._forget(pending)
+            self.dispatch(api.RequestAbandoned(pending.arrival.id))
+            self._remove_if_done(pending)
 
     def _expire(self, pending: PendingRequest) -> None:
         """The client's time is up: attempts end as timed out, and what is then unanswered is answered."""
@@ -275,7 +279,7 @@
         for attempt in list(pending.attempts):
             if not attempt.ended:
                 self.upstreams.give_up(attempt, Outcome.TIMEOUT)
-        self._give_up(pending)
+        self._reply_undecided(pending)
 
     # The module's actions
 
@@ -286,9 +290,11 @@
             return
         now, endpoint = self.clock.now(), self.discovery.endpoints.get(action.host)
         number = len(pending.attempts)
-        pending.out += 1
+        pending.outstanding += 1
         if endpoint is None:
-            attempt = Attempt(action.host, ("", 0), lambda: None, partial(self._done, pending), number, now)
+            attempt = Attempt(
+                action.host, ("", 0), lambda: None, partial(self._attempt_done, pending), number, now
+            )
             pending.attempts.append(attempt)
             attempt.end(Outcome.NOT_SENT)
             return
@@ -297,30 +303,32 @@
         def payload() -> bytes | None:
             if pending.exchange.connection.gone():
                 self.client_left(pending.exchange)
-            if pending.answered or not self._may_go(endpoint):
+            if pending.answered or not self._may_send_to(endpoint):
                 return None
             left = until - self.clock.now()
-            return self._payload(pending, left) if left > 0 else None
+            return self._request_bytes(pending, left) if left > 0 else None
 
-        attempt = Attempt(action.host, endpoint.address, payload, partial(self._done, pending), number, now)
-        attempt.started_at = endpoint.server.started_at
+        attempt = Attempt(
+            action.host, endpoint.address, payload, partial(self._attempt_done, pending), number, now
+        )
+        attempt.started_at = endpoint.host.started_at
         pending.attempts.append(attempt)
-        if until < pending.expires_at - TIMER:
+        if until < pending.expires_at - TIMER_RESOLUTION_S:
             attempt.timer = self.loop.call_later(
                 max(0.0, until - now), self.upstreams.give_up, attempt, Outcome.TIMEOUT
             )
         self.upstreams.send(attempt)
 
-    def _may_go(self, chosen: Endpoint) -> bool:
+    def _may_send_to(self, chosen: Endpoint) -> bool:
         """Whether a host is still the one that was chosen, and takes new work.
 
         The time that a drain leaves belongs to those who hear of it late, as this gateway may have.
         """
-        endpoint = self.discovery.endpoints.get(chosen.server.id)
-        return endpoint is not None and endpoint.place == chosen.place and not endpoint.leaving
+        endpoint = self.discovery.endpoints.get(chosen.host.id)
+        return endpoint is not None and endpoint.place == chosen.place and not endpoint.draining
 
     @staticmethod
-    def _payload(pending: PendingRequest, left: float) -> bytes:
+    def _request_bytes(pending: PendingRequest, left: float) -> bytes:
         exchange = pending.exchange
         body = exchange.body
         length = b"Content-Length: %d\r\n" % len(body) if body or exchange.method != b"GET" else b""
@@ -333,17 +341,17 @@
             body,
         )
 
-    def _done(
+    def _attempt_done(
         self, pending: PendingRequest, attempt: Attempt, outcome: Outcome, answer: Answer | None
     ) -> None:
         """An attempt's one outcome; the first whole answer goes to the client at once."""
-        pending.out -= 1
+        pending.outstanding -= 1
         pending.may_have_run = pending.may_have_run or outcome not in NOT_RUN
         pending.timed_out = outcome is Outcome.TIMEOUT
         if outcome is Outcome.OK and answer and not pending.answered:
             pending.answered = True
             pending.exchange.reply(200, answer.body, answer.headers)
-        self.feed(
+        self.dispatch(
             api.AttemptDone(
                 request=pending.arrival.id,
                 attempt=attempt.number,
@@ -356,7 +364,7 @@
                 connection_broken=attempt.broke,
             )
         )
-        self._forget(pending)
+        self._remove_if_done(pending)
 
     def _cancel(self, action: api.Cancel) -> None:
         pending = self.pending.get(action.request)
@@ -369,96 +377,104 @@
 
     def _refuse(self, action: api.Refuse) -> None:
         if pending := self.pending.get(action.request):
-            self._finish(pending, 503, retry_after=action.retry_after)
+            self._reply(pending, 503, retry_after=action.retry_after)
 
     def _fail(self, action: api.Fail) -> None:
         if pending := self.pending.get(action.request):
-            self._finish(pending, 504 if pending.timed_out else 502)
+            self._reply(pending, 504 if pending.timed_out else 502)
 
     def _set_timer(self, action: api.SetTimer) -> None:
-        self.delays[action.token] = action.delay
-        self.loop.call_later(max(0.0, action.delay), self.feed, api.TimerFired(action.token))
+        self.timer_delays[action.token] = action.delay
+        self.loop.call_later(max(0.0, action.delay), self.dispatch, api.TimerFired(action.token))
 
     def _probe(self, action: api.Probe) -> None:
         endpoint, started = self.discovery.endpoints.get(action.host), self.clock.now()
 
         def ended(attempt: Attempt, outcome: Outcome, answer: Answer | None) -> None:
             report = answer.report if answer else ()
-            self.feed(api.ProbeDone(action.host, outcome, self.clock.now() - started, report))
+            self.dispatch(api.ProbeDone(action.host, outcome, self.clock.now() - started, report))
 
         text = f"GET /alive HTTP/1.1\r\nHost: {action.host}\r\n\r\n".encode()
         attempt = Attempt(action.host, endpoint.address if endpoint else ("", 0), lambda: text, ended)
         if endpoint is None:
             attempt.end(Outcome.NOT_SENT)
             return
-        attempt.started_at = endpoint.server.started_at
+        attempt.started_at = endpoint.host.started_at
         attempt.timer = self.loop.call_later(
             self.config.connect_timeout, self.upstreams.give_up, attempt, Outcome.TIMEOUT
         )
         self.upstreams.send(attempt)
 
-    def _count(self, action: api.CounterAdd) -> None:
+    def _counter_add(self, action: api.CounterAdd) -> None:
         if self.counter is None:
-            self.feed(api.CounterReply(action.name, False, 0.0))
+            self.dispatch(api.CounterReply(action.name, False, 0.0))
         else:
             self.counter.add(action.name, action.amount, action.lifetime)
 
     # The list of hosts
 
-    def _listed(self, kind: api.ListKind, servers: tuple[api.HostInfo, ...], stale: list[Place]) -> None:
-        for place in stale:
+    def _on_list_change(
+        self, kind: api.ListKind, hosts: tuple[api.HostInfo, ...], retired: list[Place]
+    ) -> None:
+        for place in retired:
             self.upstreams.retire(place)
-        self.feed(api.HostList(kind, servers))
+        self.dispatch(api.HostList(kind, hosts))
 
     # The end
 
     def stop(self) -> None:
         """SIGTERM: new connections may come for a while; what was taken is answered; then it ends."""
-        if self.ends_at is not None:
+        if self.drain_deadline is not None:
             return
         log.info("stopping")
         self.ready = False
-        last = min(DEADLINE, max(c.timeout for c in self.settings.classes)) + KILLED - BEFORE
-        self.ends_at = self.clock.now() + last
+        drain_time = (
+            min(MAX_TIMEOUT_BEFORE_KILL_S, max(c.timeout for c in self.settings.classes))
+            + KILL_DELAY_S
+            - KILL_MARGIN_S
+        )
+        self.drain_deadline = self.clock.now() + drain_time
         self.server.drain()
-        self.loop.call_later(min(ACCEPT, last), self._linger)
-        self.loop.call_later(min(ACCEPT + CROSSED, last), self._stop_accepting)
-        self.loop.call_later(last, self._end)
+        self.loop.call_later(min(ACCEPT_AFTER_SIGTERM_S, drain_time), self._close_idle)
+        self.loop.call_later(
+            min(ACCEPT_AFTER_SIGTERM_S + RECONNECT_GRACE_S, drain_time), self._stop_accepting
+        )
+        self.loop.call_later(drain_time, self._end_drain)
 
     def _stop_accepting(self) -> None:
         if self.stopped.done():
             return
-        self.accepting_ended = self.server.stop_accepting()
-        if not self.accepting_ended:
-            self.loop.call_later(STEP, self._stop_accepting)
+        self.listener_closed = self.server.stop_accepting()
+        if not self.listener_closed:
+            self.loop.call_later(DRAIN_POLL_S, self._stop_accepting)
 
-    def _linger(self) -> None:
+    def _close_idle(self) -> None:
         """Closes idle connections until none is left; one with an unread request is served first."""
         self.server.close_idle()
-        self._end_if_done()
+        self._stop_if_drained()
         if not self.stopped.done():
-            self.loop.call_later(STEP, self._linger)
+            self.loop.call_later(DRAIN_POLL_S, self._close_idle)
 
-    def _end_if_done(self) -> None:
-        if self.accepting_ended and not self.server.connections:
-            self._ended()
+    def _stop_if_drained(self) -> None:
+        if self.listener_closed and not self.server.connections:
+            self._set_stopped()
 
-    def _end(self) -> None:
+    def _end_drain(self) -> None:
         for pending in list(self.pending.values()):
             self._expire(pending)
         self.server.close_idle()
-        self.loop.call_later(FLUSH, self._end_when_answered, MORE_STEPS)
+        self.loop.call_later(FLUSH_S, self._stop_when_answered, MAX_EXTRA_POLLS)
 
-    def _end_when_answered(self, steps: int) -> None:
+    def _stop_when_answered(self, polls: int) -> None:
         """Ends, but for a few more steps in which a late loop reads and answers what the kernel holds.
 
         A late loop runs its overdue timers ahead of its sockets, so FLUSH may be over before they are read.
         """
-        if steps and (not self.accepting_ended or self.server.owes_answers()):
-            self.loop.call_later(STEP, self._end_when_answered, steps - 1)
+        if polls and (not self.listener_closed or self.server.owes_answers()):
+            self.loop.call_later(DRAIN_POLL_S, self._stop_when_answered, polls - 1)
         else:
-            self._ended()
+            self._set_stopped()
 
-    def _ended(self) -> None:
+    def _set_stopped(self) -> None:
         if not self.stopped.done():
             self.stopped.set_result(None)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -29,7 +29,7 @@
 
 from coralvale import interface as api
 from coralvale.net.config import Place
-from coralvale.net.discovery import TURNS, Discovery
+from coralvale.net.discovery import MAX_QUEUE_WAIT_S, Discovery
 from coralvale.net.node import MAX_PROPAGATION_DELAY_S
 
 News = tuple[api.ListKind, tuple[api.HostInfo, ...], list[Place]]
@@ -46,7 +46,7 @@
 
 
 @contextlib.asynccontextmanager
-async def bench(silent: float = LIMIT, callers: int = 0, **limits: float) -> AsyncIterator[Bench]:
+async def bench(max_silence: float = LIMIT, queued_callers: int = 0, **limits: float) -> AsyncIterator[Bench]:
     registry = Registry()
     await registry.start()
     discovery = Discovery(
@@ -54,8 +54,8 @@
         ("north", "south"),
         ("small", "large"),
         lambda *news: result.news.put_nowait(news),
-        silent,
-        callers,
+        max_silence,
+        queued_callers,
         **limits,
     )
     result = Bench(registry, discovery)
@@ -128,16 +128,16 @@
             await b.told()
             for snapshot in (False, False, True):
                 b.discovery.apply({"index": 42, "endpoints": [leaving], "snapshot": snapshot})
-                assert b.discovery.endpoints["s-1"].leaving and place in (await b.told())[2]
+                assert b.discovery.endpoints["s-1"].draining and place in (await b.told())[2]
             b.discovery.apply({"index": 45, "endpoints": [entry("s-1", 1, since_ms=9000)]})
-            assert not b.discovery.endpoints["s-1"].leaving
+            assert not b.discovery.endpoints["s-1"].draining
 
     run(test())
 
 
 def test_a_silent_watch_is_made_anew() -> None:
     async def test() -> None:
-        async with bench(silent=0.05) as b:
+        async with bench(max_silence=0.05) as b:
             await b.registry.watch()
             second = await b.registry.watch()
             assert b"index=41 " in second.message.first
@@ -162,7 +162,7 @@
     """However long it was silent: what it has learnt counts from its return, before the next try comes."""
 
     async def test() -> None:
-        async with bench(grace=1.0) as b:
+        async with bench(drain_grace=1.0) as b:
             for _ in range(6):  # accepted and left unanswered, and the pauses have grown to their longest
                 await b.registry.next()
             returned = asyncio.get_running_loop().time()  # just too late for that call
@@ -260,7 +260,7 @@
     fails: str, callers: int
 ) -> None:
     """In a line each answer takes as long as one may; discovery is back at any moment of the tries before."""
-    turn = TURNS if callers else 0.0
+    turn = MAX_QUEUE_WAIT_S if callers else 0.0
 
     async def test(phase: float) -> float:
         loop, agent = asyncio.get_running_loop(), Agent(fails, turn)
@@ -271,13 +271,19 @@
             if any(s.state is api.HostState.DRAINING for s in servers) and not heard.done():
                 heard.set_result(loop.time())
 
-        limits = {"callers": callers, "grace": 1.0, "max_propagation_delay": MAX_PROPAGATION_DELAY_S}
+        limits = {
+            "queued_callers": callers,
+            "drain_grace": 1.0,
+            "max_propagation_delay": MAX_PROPAGATION_DELAY_S,
+        }
         discovery = Discovery(agent.address, (), (), on_change, **limits)
         discovery.random = Longest()
         discovery.apply({"index": 41, "endpoints": [entry("s-1", 1)]}, cached=True)
         following = asyncio.create_task(discovery.run())
         # A watch that falls silent, or is reset, has missed what comes right after; the others fail for long.
-        await asyncio.sleep(phase if fails not in ("falls silent", "resets") else discovery.spread + phase)
+        await asyncio.sleep(
+            phase if fails not in ("falls silent", "resets") else discovery.call_spread + phase
+        )
         await agent.come_back()
         took = await heard - agent.back_at
         following.cancel()
@@ -301,13 +307,13 @@
     """However long its call might have waited in a line."""
 
     async def test() -> None:
-        async with bench(silent=0.2, callers=1) as b:
+        async with bench(max_silence=0.2, queued_callers=1) as b:
             await b.told()
             (await b.registry.watch()).reply(chunk(line(42, entry("s-3", 3))))
             await b.told()
             await b.registry.watch()
 
-    monkeypatch.setattr("coralvale.net.discovery.PATIENCE", 10 * LIMIT)
+    monkeypatch.setattr("coralvale.net.discovery.QUEUED_RESPONSE_TIMEOUT_S", 10 * LIMIT)
     run(test())
 
 
@@ -512,7 +518,7 @@
     """One that is left is served all the same, and the next call waits behind it."""
 
     async def test() -> None:
-        async with bench(silent=0.05, callers=1) as b:
+        async with bench(max_silence=0.05, queued_callers=1) as b:
             arrived = await b.registry.next()
             with pytest.raises(TimeoutError):
                 await asyncio.wait_for(b.registry.next(), 0.4)
@@ -528,9 +534,9 @@
     def pauses(callers: int) -> list[float]:
         drawn = []
         for seed in range(40):
-            discovery = Discovery(("127.0.0.1", 1), (), (), lambda *_: None, callers=callers)
+            discovery = Discovery(("127.0.0.1", 1), (), (), lambda *_: None, queued_callers=callers)
             discovery.random.seed(seed)
-            drawn.append(discovery._pause(0.0))
+            drawn.append(discovery._retry_delay(0.0))
         return sorted(drawn)
 
     spread = pauses(40)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -36,7 +36,7 @@
 from coralvale import interface as api
 from coralvale.interface import Outcome
 from coralvale.net.clock import Clock
-from coralvale.net.node import BEFORE, FLUSH, PendingRequest
+from coralvale.net.node import FLUSH_S, KILL_MARGIN_S, PendingRequest
 from coralvale.net.server import PIPELINED, SETTLING, Exchange
 from coralvale.net.upstream import REST, Attempt
 
@@ -156,7 +156,7 @@
             client.send(request())
             await host.next()
             for _ in range(2):
-                w.node.actions[api.Cancel](api.Cancel("r1", 0))
+                w.node.action_handlers[api.Cancel](api.Cancel("r1", 0))
             assert (await client.receive()).status == 502
             assert [d.outcome for d in w.script.of(api.AttemptDone)] == [Outcome.CANCELLED]
             await until(lambda: host.closed == 1)
@@ -278,7 +278,7 @@
             assert (await client.receive()).status == 503
             assert not w.node.pending
             w.script.on(api.TimerFired, fail)
-            w.node.actions[api.SetTimer](api.SetTimer(0, 0.01))
+            w.node.action_handlers[api.SetTimer](api.SetTimer(0, 0.01))
             await until(lambda: len(w.script.of(api.TimerFired)) >= 3)
         host.stop()
 
@@ -499,7 +499,7 @@
             client.send(request("r2"))
             await hung.next()
             steps = stop_by_hand(w)
-            next(step for _, step in steps if step == w.node._end)()
+            next(step for _, step in steps if step == w.node._end_drain)()
             assert [e.outcome for e in w.script.of(api.AttemptDone)][1:] == [
                 Outcome.TIMEOUT,
                 Outcome.NOT_SENT,
@@ -640,7 +640,7 @@
             waiting = connect_unseen(w, 100)
             if writes == "before the listener is closed":
                 send_numbered(waiting)
-            take_steps(w, "_linger", "_stop_accepting", "_linger")
+            take_steps(w, "_close_idle", "_stop_accepting", "_close_idle")
             if writes == "after it":
                 send_numbered(waiting)
             w.node.server._sweep()
@@ -688,7 +688,7 @@
             assert (await busy.receive()).body == b"done"
             (await host.next()).reply(answer(body=b"done"))
             assert b"done" in (await read_all_to_end(waiting))[0]
-            await until(lambda: w.node.accepting_ended)
+            await until(lambda: w.node.listener_closed)
         host.stop()
 
     run(test())
@@ -712,14 +712,14 @@
             await until(lambda: len(w.node.server.connections) == 2)
             connections += connect_unseen(w, 2)
             send_numbered(connections)
-            take_steps(w, "_stop_accepting", "_end")
-            time.sleep(2 * FLUSH)  # noqa: ASYNC251 - the loop itself is late
+            take_steps(w, "_stop_accepting", "_end_drain")
+            time.sleep(2 * FLUSH_S)  # noqa: ASYNC251 - the loop itself is late
             answers = await read_all_to_end(connections)
             assert [each[:12] for each in answers] == [b"HTTP/1.1 503"] * 4
             await soon(ending)
 
-    monkeypatch.setattr("coralvale.net.node.DEADLINE", 0.0)
-    monkeypatch.setattr("coralvale.net.node.KILLED", BEFORE)  # the drain's time is up at once
+    monkeypatch.setattr("coralvale.net.node.MAX_TIMEOUT_BEFORE_KILL_S", 0.0)
+    monkeypatch.setattr("coralvale.net.node.KILL_DELAY_S", KILL_MARGIN_S)  # the drain's time is up at once
     run(test())
 
 
@@ -736,7 +736,7 @@
             await soon(w.node.stopped)
         host.stop()
 
-    monkeypatch.setattr("coralvale.net.node.DEADLINE", 0.5)
+    monkeypatch.setattr("coralvale.net.node.MAX_TIMEOUT_BEFORE_KILL_S", 0.5)
     run(test())
 
 
