--- a/coralvale/__main__.py
+++ b/coralvale/__main__.py
@@ -1,4 +1,4 @@
-"""Starts one gateway: its configuration, the event loop, the signals."""
+"""Runs one gateway: reads its configuration, starts the event loop and handles signals."""
 
 from __future__ import annotations
 
@@ -19,7 +19,10 @@
 
 
 class RateLimitFilter(logging.Filter):
-    """Lets through a few lines of a kind in some seconds: a fault in every request must not fill the log."""
+    """Limits the lines logged from one message in a period: an error in every request must not fill the log.
+
+    The period is in seconds.
+    """
 
     def __init__(self, max_lines: int = 5, period: float = 10.0) -> None:
         super().__init__()
@@ -34,7 +37,7 @@
 
 
 def reload(node: Node, path: str) -> None:
-    """SIGHUP: takes the file as it is now; one that cannot be used changes nothing."""
+    """Reads the configuration file again, on SIGHUP; an invalid file changes nothing."""
     try:
         config = read_config(path)
     except ConfigError as error:
@@ -44,7 +47,10 @@
 
 
 class EarlyReload:
-    """Remembers a SIGHUP that comes ahead of the event loop: the file may have been read before it."""
+    """Records a SIGHUP that arrives before the event loop handles signals.
+
+    The configuration may have been read before the change that the signal announces.
+    """
 
     def __init__(self) -> None:
         self.requested = False
@@ -63,7 +69,7 @@
     node.start()
     if early.requested:
         reload(node, path)
-    # What start-up made lives for good: collecting it again and again would only cost time.
+    # Objects made at start live as long as the process: keep the garbage collector from scanning them.
     gc.collect()
     gc.freeze()
     await node.stopped
@@ -71,7 +77,7 @@
 
 
 async def serve_until_exit(config: Config, path: str, early: EarlyReload) -> None:
-    """Serves; from then on no signal interrupts what is left: the loop will restore their default effects."""
+    """Serves, then blocks the signals: closing the loop restores their default actions, which would kill."""
     await serve(config, path, early)
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP, signal.SIGTERM, signal.SIGINT})
 
@@ -79,7 +85,7 @@
 def main() -> int:
     logging.basicConfig(level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s", stream=sys.stderr)
     logging.getLogger().handlers[0].addFilter(RateLimitFilter())
-    # libuv's io_uring comes with a kernel thread that polls: with less than a core it used all there was.
+    # With io_uring libuv starts a polling kernel thread, which takes all of a CPU share below one core.
     os.environ.setdefault("UV_USE_IO_URING", "0")
     early = EarlyReload()
     path = os.environ.get("LB_CONFIG")
--- a/coralvale/net/__init__.py
+++ b/coralvale/net/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway on sockets: input and output round the decision module, which makes every decision."""
+"""Network side of the gateway: connects the decision module to clients, hosts, discovery and the counter."""
--- a/coralvale/net/clock.py
+++ b/coralvale/net/clock.py
@@ -1,4 +1,4 @@
-"""The one clock of the program."""
+"""The clock of the gateway."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class Clock:
-    """Unix time that never steps back: the monotonic clock plus an offset taken once, at start.
+    """Unix time in seconds that never steps: the monotonic clock plus an offset taken once, at start.
 
-    Discovery's `since_ms` and the windows that all gateways share need Unix time; a stepped system clock
-    must not end every deadline at once.
+    Discovery's `since_ms` and the windows that all gateways share need Unix time, but a step of the system
+    clock must not make all deadlines expire at once.
     """
 
     def __init__(self) -> None:
--- a/coralvale/net/discovery.py
+++ b/coralvale/net/discovery.py
@@ -1,4 +1,4 @@
-"""The watch on discovery: keeps the merged list of hosts and passes on each change of it."""
+"""Watches discovery: keeps the host list up to date and reports each change of it."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True)
 class Endpoint:
-    """A listed host: what the module knows of it, and its address here."""
+    """A listed host: its description for the decision module, and its address."""
 
     host: api.HostInfo
     address: Address
@@ -62,7 +62,11 @@
 
 
 class Discovery:
-    """Follows the list; `on_change(kind, servers, stale)` gets what changed and which hosts to let go."""
+    """Follows the host list.
+
+    `on_change(kind, hosts, retired)` gets the hosts that a message tells of, and which hosts, as they were
+    listed before, have to get rid of their idle connections.
+    """
 
     def __init__(
         self,
@@ -75,13 +79,16 @@
         drain_grace: float = math.inf,
         max_propagation_delay: float = math.inf,
     ) -> None:
-        """`callers`: how many gateways' calls wait in one line; nought where each is answered at once.
+        """`queued_callers`: how many gateways share a discovery that serves their calls one by one from a
+        queue; 0 if each call is answered at once.
+
+        `drain_grace`: s within which sending to a host must stop once its drain counts as known. What the
+        agent learns when it comes back counts as known at once, so a call that came just too early must have
+        failed and been repeated well within this time.
 
-        `grace`: s from when a drain counts as told until sending must have ended. What an agent learns when
-        it is back counts at once, so a try that came just too early must be over well within that.
-        `max_propagation_delay`: s after discovery could be reached, or a watch of it fell silent, in which
-        what it has counts as told, whatever calls have failed: from then to the next answer it must not take
-        longer.
+        `max_propagation_delay`: s after which a change counts as known, from when discovery is reachable
+        again or a watch has fallen silent. However many calls have failed, the next response must come by
+        then.
         """
         self.address, self.on_change = address, on_change
         self.max_propagation_delay = self.propagation_limit = max_propagation_delay
@@ -103,7 +110,7 @@
                 self.response_timeout,
                 min(MAX_BACKOFF_S, share / (1 + JITTER)),
             )
-        # What is left when silence is noticed has to be enough for a pause, a connect and an answer.
+        # When silence is detected, there must be time left for a pause, connecting and the response.
         self.max_silence = min(
             max_silence,
             max_propagation_delay - self.connect_timeout - self.max_response_time - 2 * LOOP_DELAY_MARGIN_S,
@@ -115,15 +122,18 @@
         self.random = random.Random()
         self.watch: Watch | None = None
         self.backoff = MIN_BACKOFF_S
-        self.stale_since = math.inf  # from when on discovery may have had what it has not told
-        self.moved = asyncio.Event()  # set when the address has changed: there is nothing to wait for
-        self.on_response: Callable[[], None] | None = None  # called when a watch has been answered
+        self.stale_since = math.inf  # loop time from which on changes may have been missed
+        self.moved = asyncio.Event()  # set when the address has changed, to end all waiting
+        self.on_response: Callable[[], None] | None = None  # called at each response head
 
     def apply(self, message: dict[str, Any], cached: bool = False) -> None:
-        """Merges one message into the list; an entry that cannot be read is left out and named in the log."""
+        """Merges one message into the list.
+
+        An invalid entry is logged and left out; but in a full list, the host stays as it was listed before.
+        """
         entries, index = message.get("endpoints", []), message.get("index")
         if not isinstance(entries, list):
-            raise ValueError("endpoints: no list")
+            raise ValueError("endpoints: not a list")
         full = bool(message.get("snapshot")) or cached
         changed: list[api.HostInfo] = []
         before, listed = self.endpoints, {} if full else dict(self.endpoints)
@@ -135,7 +145,7 @@
                 known = isinstance(entry, dict) and before.get(str(entry.get("name")))
                 if not (full and known):
                     continue
-                endpoint = known  # one bad field must not take a host from the list
+                endpoint = known  # one invalid field must not remove a host
             name = endpoint.host.id
             changed.append(endpoint.host)
             if endpoint.host.state is api.HostState.GONE:
@@ -143,9 +153,9 @@
                 continue
             listed[name] = endpoint
         self.endpoints = listed
-        # A host that drains, has gone, restarted or moved: connections kept to it serve nothing new.
+        # A host that drains, is gone, has restarted or moved: its idle connections are of no more use.
         retired = [old.place for name, old in before.items() if self._is_retired(old, listed.get(name))]
-        # Without an index that can be read, the next watch begins with the whole list.
+        # Without a valid index the next watch starts with the full list.
         self.index = index if type(index) is int and index >= 0 else None
         if cached or full or changed:
             kind = api.ListKind.CACHED if cached else api.ListKind.FULL if full else api.ListKind.CHANGES
@@ -162,7 +172,7 @@
         gone = state is api.HostState.GONE
         weight, since = float(entry.get("weight", 1.0)), float(entry.get("since_ms") or 0)
         if not (math.isfinite(weight) and math.isfinite(since)):
-            raise ValueError("weight or since_ms: no finite number")
+            raise ValueError("weight or since_ms: not a finite number")
         host = api.HostInfo(
             id=str(entry["name"]),
             state=state,
@@ -175,18 +185,18 @@
         return Endpoint(host, ("", 0) if gone else read_address(entry["address"]))
 
     def follow(self) -> None:
-        """Asks for what changes from now on: the watch does, and begins anew whenever it is lost."""
+        """Asks for changes from now on. Nothing to do: `run` always keeps a watch open."""
 
     def refresh(self) -> None:
-        """Asks for the whole list, by a new watch from no version."""
+        """Asks for the full list, by closing the watch and opening one without an index."""
         self.index = None
         if self.watch:
             self.watch.close()
 
     def move(self, address: Address) -> None:
-        """Follows another agent from now on, from no version: an index means nothing to a stranger.
+        """Switches to another agent and asks it for the full list, as the index is the old agent's.
 
-        The list stays as it is until the new agent has told its own.
+        The current list stays in use until the new agent has sent its own.
         """
         self.address, self.backoff = address, MIN_BACKOFF_S
         self.propagation_limit = min(self.max_propagation_delay, MOVED_PROPAGATION_DELAY_S)
@@ -194,12 +204,14 @@
         self.moved.set()
 
     async def run(self) -> None:
-        """Watches for good. Nothing that goes wrong in one watch may end this: the list would age unseen."""
+        """Keeps a watch open until cancelled.
+
+        No error in a watch may end this, or the list would go out of date unnoticed.
+        """
         loop = asyncio.get_running_loop()
         self.stale_since = loop.time()
-        if (
-            self.call_spread and self.endpoints
-        ):  # gateways that were restarted together have a list to begin with
+        # Gateways restarted together spread their first calls; they serve from the cached list until then.
+        if self.call_spread and self.endpoints:
             await asyncio.sleep(self._retry_delay(self.stale_since))
         while True:
             self.moved.clear()
@@ -207,10 +219,10 @@
             moved = asyncio.ensure_future(self.moved.wait())
             try:
                 await asyncio.wait([watching, moved], return_when=asyncio.FIRST_COMPLETED)
-                if moved.done():  # a connect to the old address may hang, so it is not waited for
+                if moved.done():  # connecting to the old address may hang: do not wait for it
                     continue
                 if error := watching.exception():
-                    log.error("discovery: a watch failed", exc_info=error)
+                    log.error("discovery: watch failed", exc_info=error)
                 useful = not error and watching.result()
                 self.backoff = MIN_BACKOFF_S if useful else min(2 * self.backoff, self.max_backoff)
                 await asyncio.wait([moved], timeout=self._retry_delay(loop.time()))
@@ -219,10 +231,10 @@
                 moved.cancel()
 
     def _retry_delay(self, now: float) -> float:
-        """Jittered, so that gateways that lost discovery together do not come back together.
+        """The delay before the next call, jittered so that gateways that lost discovery together spread out.
 
-        However often calls have failed, it leaves time to connect and be answered before what discovery may
-        have since the last of them counts as told.
+        However often calls have failed, it leaves time to connect and get a response before changes since the
+        last of them count as known.
         """
         left = (
             self.stale_since
@@ -236,7 +248,7 @@
         return self.random.uniform(min(self.backoff * (1 - JITTER), longest), longest)
 
     async def _run_watch(self) -> bool:
-        """Follows one watch to its end; tells whether it was of any use."""
+        """Follows one watch to its end; returns whether it delivered data, and no invalid message."""
         loop = asyncio.get_running_loop()
         watch = self.watch = Watch(self)
         self.stale_since = loop.time()
@@ -247,17 +259,17 @@
             watch.close()
             return False
         while not watch.closed.done():
-            # A watch cut off on the way stays open and says nothing for good.
+            # If the network path is cut, the connection stays open and silent.
             limit = self.max_silence if watch.responded else self.response_timeout
             left = watch.last_received_at + limit - loop.time()
             if left <= 0:
-                log.warning("discovery: nothing heard for %.1f s, watching anew", limit)
+                log.warning("discovery: no data for %.1f s, opening a new watch", limit)
                 watch.timed_out = True
                 watch.close()
-            # No longer than it may be silent: it may be answered, and fall silent, while this waits.
+            # At most `max_silence`: the response may come, and the watch then fall silent, during this wait.
             await asyncio.wait([watch.closed], timeout=max(min(left, self.max_silence), MIN_POLL_S))
         useful = watch.received and not watch.malformed
-        if watch.responded:  # one that was of use has told all until it was lost
+        if watch.responded:  # until its loss, a useful watch delivered all changes
             self.stale_since = loop.time() if useful and not watch.timed_out else watch.last_received_at
         if useful:
             self.propagation_limit = self.max_propagation_delay
@@ -265,14 +277,15 @@
 
 
 class Watch(asyncio.Protocol):
-    """One watch: a chunked answer of JSON objects, and of empty lines while nothing changes."""
+    """One watch: a chunked response of JSON objects, with empty lines as heartbeats between them."""
 
     def __init__(self, owner: Discovery) -> None:
         self.owner, self.buffer = owner, b""
+        # Whether the response head has come, any of the body, and an invalid message in it.
         self.responded = self.received = self.malformed = False
-        self.timed_out = False  # it said nothing for too long
-        self.partial = False  # whether `rest` holds lines of a message that has not come whole
-        self.scanned = self.depth = 0  # bytes of `rest` looked at for brackets, and those left open there
+        self.timed_out = False  # closed because it was silent for too long
+        self.partial = False  # whether `buffer` holds whole lines of an incomplete message
+        self.scanned = self.depth = 0  # bytes of `buffer` scanned for brackets, and brackets open after them
         self.transport: asyncio.Transport | None = None
         loop = asyncio.get_running_loop()
         self.closed: asyncio.Future[None] = loop.create_future()
@@ -303,37 +316,37 @@
             self.owner.on_response()
 
     def on_body(self, body: bytes) -> None:
-        if self.owner.watch is not self:  # what an agent left behind still had to say
+        if self.owner.watch is not self:  # data for a watch that has been replaced
             self.close()
             return
         self.last_received_at, self.received = self.clock(), True
         self.buffer += body
         if len(self.buffer) > MAX_MESSAGE_BYTES:
-            raise ValueError("a message without end")
-        # An indented message is not read again with each line, but where its end or an empty line has come.
+            raise ValueError("message exceeds the size limit")
+        # Does not parse an indented message with each line, only once it may be complete or on an empty line.
         if b"\n" in body and (not self.partial or not body.strip() or self._may_be_complete()):
             self._read_messages()
         if self.malformed:
             self.close()
 
     def _may_be_complete(self) -> bool:
-        """Whether the whole lines close what they open, or a message begins; each line is looked at once."""
+        """Whether the whole lines close all brackets, or a new message begins; scans each line only once."""
         end = self.buffer.rfind(b"\n") + 1
-        begins = self.buffer.find(b"\n{", max(0, self.scanned - 1), end) >= 0  # behind one that broke off
+        begins = self.buffer.find(b"\n{", max(0, self.scanned - 1), end) >= 0  # after an incomplete one
         for token in STRING_OR_BRACKET.finditer(self.buffer, self.scanned, end):
             self.depth += bool(token[1]) - bool(token[2])
         self.scanned = end
         return begins or self.depth <= 0
 
     def _read_messages(self) -> None:
-        """Takes out the messages that have come whole: an object on one line, or indented over several."""
+        """Applies and removes the complete messages: JSON objects on one line, or indented over several."""
         whole, end, unfinished = self.buffer.rpartition(b"\n")
         text = (whole + end).decode(errors="replace").lstrip()
         while text:
             try:
                 message, size = DECODER.raw_decode(text)
             except (json.JSONDecodeError, RecursionError) as error:
-                # A message that ends too early for JSON is still coming, unless an empty line is in it.
+                # JSON that ends too early is a message still arriving, unless it contains an empty line.
                 early = isinstance(error, json.JSONDecodeError) and error.pos >= len(text.rstrip())
                 if early and not EMPTY_LINE.search(text):
                     break
@@ -351,14 +364,14 @@
             self.owner.apply(message)
             index = self.owner.index
             if known is not None and index is not None and index < known and not message.get("snapshot"):
-                raise ValueError("changes to an older list than the one held")
+                raise ValueError("changes to a list older than the current one")
         except (ValueError, TypeError, AttributeError) as error:
             self._reject(json.dumps(message), error)
         if self.malformed:
             self.owner.index = None
 
     def _reject(self, text: str, error: Exception) -> None:
-        """One bad message must not lose the others; what it told is asked for anew, with the whole list."""
+        """Logs an invalid message; others are still read, and the next watch asks for the full list."""
         log.warning("discovery: cannot use message %.200r: %r", text, error)
         self.malformed = True
         self.owner.index = None
--- a/coralvale/net/node.py
+++ b/coralvale/net/node.py
@@ -1,8 +1,9 @@
-"""Drives the decision module: what happens becomes its events, its actions are carried out.
+"""Connects the decision module to the network: passes it events and carries out the actions it returns.
 
-The node chooses no host, no retry and no refusal. What it decides alone are guards of the transport: it
-answers for a module that failed, ends what is still held at its deadline, and does not write an attempt
-that has become pointless or forbidden since it was ordered.
+Which host gets an attempt, whether there is another one and what is refused is up to the decision module. The
+node decides alone only to protect itself and the transport: it turns away a request whose id is in use or for
+which it has no room, answers a request that the module has failed to decide, ends a request at its deadline,
+and does not send an attempt if, since the module ordered it, the client has left or the host takes no more.
 """
 
 from __future__ import annotations
@@ -45,17 +46,17 @@
 NOT_RUN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
-def descriptor_limit(most: int) -> int:
-    """How many there are: what the configuration allows may be more than the system does.
+def descriptor_limit(configured: int) -> int:
+    """The number of file descriptors to share out: the configured one, or the process limit if lower.
 
-    Clients that take the last one would keep out the watch, the counter and the hosts.
+    If clients could take the last descriptor, none would be left for discovery, the counter and the hosts.
     """
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    return most if soft == resource.RLIM_INFINITY else min(most, soft)
+    return configured if soft == resource.RLIM_INFINITY else min(configured, soft)
 
 
 class PendingRequest:
-    """A request from its last byte until it is answered and no attempt is out."""
+    """A request, from its arrival in full until it is answered and none of its attempts is outstanding."""
 
     __slots__ = (
         "answered",
@@ -66,18 +67,21 @@
         "may_have_run",
         "outstanding",
         "timer",
-        "timed_out",
+        "last_timed_out",
     )
 
     def __init__(self, exchange: Exchange, arrival: Arrival, expires_at: float) -> None:
         self.exchange, self.arrival, self.expires_at = exchange, arrival, expires_at
         self.attempts: list[Attempt] = []
-        self.outstanding = 0
-        self.answered = self.may_have_run = self.timed_out = False
+        self.outstanding = 0  # attempts that have not ended
+        # `answered`: the client is answered or gone; `last_timed_out`: the attempt that ended last timed out.
+        self.answered = self.may_have_run = self.last_timed_out = False
         self.timer: asyncio.TimerHandle | None = None
 
 
 class Node:
+    """One gateway: the decision module with its clients, its hosts, discovery and the counter."""
+
     def __init__(self, config: Config, clock: Clock | None = None) -> None:
         self.config, self.settings = config, config.settings
         self.clock = clock or Clock()
@@ -85,16 +89,15 @@
         self.gateway = Gateway(config.settings, config.seed)
         self.pending: dict[str, PendingRequest] = {}
         self.ready = False
-        self.drain_deadline: float | None = None  # after SIGTERM, when all must be answered
+        self.drain_deadline: float | None = None  # set by SIGTERM: when all requests must be answered
         self.listener_closed = False
         self.stopped: asyncio.Future[None] = self.loop.create_future()
         self.events: deque[api.Event] = deque()
         self.processing = False
-        self.timer_delays: dict[
-            int, float
-        ] = {}  # the module's timers by token, to set one again that was lost
+        # Delays of the module's timers by token, to set a timer again if the module fails as it fires.
+        self.timer_delays: dict[int, float] = {}
         sockets = descriptor_limit(config.sockets)
-        share = (sockets - min(RESERVED_DESCRIPTORS, sockets // 4)) // 2  # for clients, and for hosts
+        share = (sockets - min(RESERVED_DESCRIPTORS, sockets // 4)) // 2  # for clients and for hosts each
         surplus = share // 8
         self.server = Server(config.listen, config.settings, self, share - surplus, surplus)
         self.upstreams = Upstreams(
@@ -137,16 +140,16 @@
         self.ready = self.drain_deadline is None
 
     def reload(self, config: Config) -> None:
-        """Moves discovery and the counter to their new addresses; clients, hosts and requests go on.
+        """Takes over new addresses of discovery and the counter; open connections and requests go on.
 
-        Only these two can change under way. The limits and the settings hold from start to end.
+        Nothing else is reloaded: limits and settings stay as they were at start.
         """
         if config.discovery != self.discovery.address:
-            log.info("discovery is now at %s", config.discovery)
+            log.info("discovery address is now %s", config.discovery)
             self.discovery.move(config.discovery)
         if config.counter == (self.counter.address if self.counter else None):
             return
-        log.info("the counter is now at %s", config.counter)
+        log.info("counter address is now %s", config.counter)
         if self.counter:
             self.counter.retire()
         self.counter = self._make_counter(config.counter)
@@ -157,7 +160,7 @@
         return Counter(address, self.settings.counter_timeout, self.config.connect_timeout, self.dispatch)
 
     def close(self) -> None:
-        """Lets go of all sockets, at once."""
+        """Closes all sockets at once."""
         self.discovery_task.cancel()
         self.server.close()
         self.upstreams.close()
@@ -167,7 +170,7 @@
     # Events in, actions out
 
     def dispatch(self, event: api.Event) -> None:
-        """Hands an event to the module; one that comes of carrying out an action waits its turn."""
+        """Passes an event to the decision module; one raised while an action is carried out is queued."""
         self.events.append(event)
         if self.processing:
             return
@@ -182,17 +185,17 @@
         try:
             actions = self.gateway.handle(self.clock.now(), event)
         except Exception:
-            log.exception("the decision module failed on %s", type(event).__name__)
+            log.exception("decision module failed on event %s", type(event).__name__)
             self._recover(event)
             return
         for action in actions:
             try:
                 self.action_handlers[type(action)](action)
             except Exception:
-                log.exception("cannot carry out %r", action)
+                log.exception("cannot carry out action %r", action)
 
     def _recover(self, event: api.Event) -> None:
-        """The module failed on an event: its request is answered all the same, its timer set again."""
+        """After the module has failed on an event: answers the request, or sets the timer again."""
         if isinstance(event, api.TimerFired):
             self._set_timer(
                 api.SetTimer(event.token, self.timer_delays.get(event.token, DEFAULT_TIMER_DELAY_S))
@@ -207,14 +210,14 @@
             self._reply_undecided(pending)
 
     def _reply_undecided(self, pending: PendingRequest | None) -> None:
-        """The answer that nobody decided: a refusal only if trying again does no harm, else a failure."""
+        """Answers a request without a decision: 503 only if trying again does no harm, else 502 or 504."""
         if pending is None or pending.answered:
             return
         if (
             pending.may_have_run
             and self.settings.classes[pending.arrival.cls].idempotency is not api.Idempotency.SAFE
         ):
-            self._reply(pending, 504 if pending.timed_out else 502)
+            self._reply(pending, 504 if pending.last_timed_out else 502)
         else:
             self._reply(pending, 503, retry_after=self.settings.retry_after_limit)
         self.dispatch(api.RequestAbandoned(pending.arrival.id))
@@ -230,7 +233,7 @@
             if pending.timer:
                 pending.timer.cancel()
             self.pending.pop(pending.arrival.id, None)
-            pending.exchange.held = None  # no cycles are left behind: nothing waits for the collector
+            pending.exchange.held = None  # breaks the reference cycle, to be freed without garbage collection
             pending.attempts.clear()
             if self.drain_deadline is not None:
                 self._stop_if_drained()
@@ -238,7 +241,7 @@
     # Clients
 
     def take(self, exchange: Exchange, arrival: Arrival) -> None:
-        if arrival.id in self.pending:  # ids are new with every request; two under one cannot be told apart
+        if arrival.id in self.pending:  # two requests with the same id could not be told apart
             exchange.refuse(400, b"x-request-id: in use\n")
             return
         if len(self.pending) >= self.config.most_held:
@@ -263,7 +266,7 @@
                 units=arrival.units,
             )
         )
-        if not pending.answered:  # most requests of a busy day are refused at once and need no timer
+        if not pending.answered:  # under load most requests are refused at once and need no timer
             pending.timer = self.loop.call_later(max(0.0, expires_at - now), self._expire, pending)
 
     def client_left(self, exchange: Exchange) -> None:
@@ -274,19 +277,20 @@
             self._remove_if_done(pending)
 
     def _expire(self, pending: PendingRequest) -> None:
-        """The client's time is up: attempts end as timed out, and what is then unanswered is answered."""
-        pending.expires_at = min(pending.expires_at, self.clock.now())  # a drain may have less time
+        """The request's time is up: ends its attempts as timed out, and answers it if that has not."""
+        # A drain may end before `expires_at`; nothing may be sent after it.
+        pending.expires_at = min(pending.expires_at, self.clock.now())
         for attempt in list(pending.attempts):
             if not attempt.ended:
                 self.upstreams.give_up(attempt, Outcome.TIMEOUT)
         self._reply_undecided(pending)
 
-    # The module's actions
+    # Actions of the decision module
 
     def _send(self, action: api.Send) -> None:
         pending = self.pending.get(action.request)
         if pending is None:
-            log.error("the decision module sent a request that is not pending")
+            log.error("decision module ordered an attempt for a request that is not pending")
             return
         now, endpoint = self.clock.now(), self.discovery.endpoints.get(action.host)
         number = len(pending.attempts)
@@ -298,37 +302,37 @@
             pending.attempts.append(attempt)
             attempt.end(Outcome.NOT_SENT)
             return
-        until = min(action.deadline or pending.expires_at, pending.expires_at)
+        deadline = min(action.deadline or pending.expires_at, pending.expires_at)
 
         def payload() -> bytes | None:
             if pending.exchange.connection.gone():
                 self.client_left(pending.exchange)
             if pending.answered or not self._may_send_to(endpoint):
                 return None
-            left = until - self.clock.now()
-            return self._request_bytes(pending, left) if left > 0 else None
+            remaining = deadline - self.clock.now()
+            return self._request_bytes(pending, remaining) if remaining > 0 else None
 
         attempt = Attempt(
             action.host, endpoint.address, payload, partial(self._attempt_done, pending), number, now
         )
         attempt.started_at = endpoint.host.started_at
         pending.attempts.append(attempt)
-        if until < pending.expires_at - TIMER_RESOLUTION_S:
+        if deadline < pending.expires_at - TIMER_RESOLUTION_S:
             attempt.timer = self.loop.call_later(
-                max(0.0, until - now), self.upstreams.give_up, attempt, Outcome.TIMEOUT
+                max(0.0, deadline - now), self.upstreams.give_up, attempt, Outcome.TIMEOUT
             )
         self.upstreams.send(attempt)
 
     def _may_send_to(self, chosen: Endpoint) -> bool:
-        """Whether a host is still the one that was chosen, and takes new work.
+        """Whether the chosen host is still listed with the same start time and address, and is not draining.
 
-        The time that a drain leaves belongs to those who hear of it late, as this gateway may have.
+        The drain grace is not used for new attempts, as this gateway may have learnt of the drain late.
         """
         endpoint = self.discovery.endpoints.get(chosen.host.id)
         return endpoint is not None and endpoint.place == chosen.place and not endpoint.draining
 
     @staticmethod
-    def _request_bytes(pending: PendingRequest, left: float) -> bytes:
+    def _request_bytes(pending: PendingRequest, remaining: float) -> bytes:
         exchange = pending.exchange
         body = exchange.body
         length = b"Content-Length: %d\r\n" % len(body) if body or exchange.method != b"GET" else b""
@@ -336,7 +340,7 @@
             exchange.method,
             exchange.target,
             b"".join([b"%b: %b\r\n" % h for h in exchange.headers if h[0].lower() not in NOT_PASSED_ON]),
-            left,
+            remaining,
             length,
             body,
         )
@@ -344,10 +348,10 @@
     def _attempt_done(
         self, pending: PendingRequest, attempt: Attempt, outcome: Outcome, answer: Answer | None
     ) -> None:
-        """An attempt's one outcome; the first whole answer goes to the client at once."""
+        """Called once when an attempt ends; the first OK response goes to the client at once."""
         pending.outstanding -= 1
         pending.may_have_run = pending.may_have_run or outcome not in NOT_RUN
-        pending.timed_out = outcome is Outcome.TIMEOUT
+        pending.last_timed_out = outcome is Outcome.TIMEOUT
         if outcome is Outcome.OK and answer and not pending.answered:
             pending.answered = True
             pending.exchange.reply(200, answer.body, answer.headers)
@@ -381,7 +385,7 @@
 
     def _fail(self, action: api.Fail) -> None:
         if pending := self.pending.get(action.request):
-            self._reply(pending, 504 if pending.timed_out else 502)
+            self._reply(pending, 504 if pending.last_timed_out else 502)
 
     def _set_timer(self, action: api.SetTimer) -> None:
         self.timer_delays[action.token] = action.delay
@@ -411,7 +415,7 @@
         else:
             self.counter.add(action.name, action.amount, action.lifetime)
 
-    # The list of hosts
+    # Host list
 
     def _on_list_change(
         self, kind: api.ListKind, hosts: tuple[api.HostInfo, ...], retired: list[Place]
@@ -420,13 +424,13 @@
             self.upstreams.retire(place)
         self.dispatch(api.HostList(kind, hosts))
 
-    # The end
+    # Shutdown
 
     def stop(self) -> None:
-        """SIGTERM: new connections may come for a while; what was taken is answered; then it ends."""
+        """Drains: accepts connections for a while longer, answers all requests it has, then stops."""
         if self.drain_deadline is not None:
             return
-        log.info("stopping")
+        log.info("draining before exit")
         self.ready = False
         drain_time = (
             min(MAX_TIMEOUT_BEFORE_KILL_S, max(c.timeout for c in self.settings.classes))
@@ -449,7 +453,7 @@
             self.loop.call_later(DRAIN_POLL_S, self._stop_accepting)
 
     def _close_idle(self) -> None:
-        """Closes idle connections until none is left; one with an unread request is served first."""
+        """Closes idle connections, again and again until the node stops; unread requests are served first."""
         self.server.close_idle()
         self._stop_if_drained()
         if not self.stopped.done():
@@ -466,9 +470,10 @@
         self.loop.call_later(FLUSH_S, self._stop_when_answered, MAX_EXTRA_POLLS)
 
     def _stop_when_answered(self, polls: int) -> None:
-        """Ends, but for a few more steps in which a late loop reads and answers what the kernel holds.
+        """Stops, after some more polls if responses are still owed.
 
-        A late loop runs its overdue timers ahead of its sockets, so FLUSH may be over before they are read.
+        A late event loop runs its overdue timers before it reads from its sockets, so FLUSH_S may have passed
+        before requests that the kernel holds are read and answered.
         """
         if polls and (not self.listener_closed or self.server.owes_answers()):
             self.loop.call_later(DRAIN_POLL_S, self._stop_when_answered, polls - 1)
