--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The watch on the list of hosts."""
+"""The watch on discovery and the host list that it keeps."""
 
 from __future__ import annotations
 
@@ -32,17 +32,17 @@
 from coralvale.net.discovery import MAX_QUEUE_WAIT_S, Discovery
 from coralvale.net.node import MAX_PROPAGATION_DELAY_S
 
-News = tuple[api.ListKind, tuple[api.HostInfo, ...], list[Place]]
+Change = tuple[api.ListKind, tuple[api.HostInfo, ...], list[Place]]
 
 
 @dataclass
 class Bench:
     registry: Registry
     discovery: Discovery
-    news: asyncio.Queue[News] = field(default_factory=asyncio.Queue)
+    changes: asyncio.Queue[Change] = field(default_factory=asyncio.Queue)
 
-    async def told(self) -> News:
-        return await soon(self.news.get())
+    async def next_change(self) -> Change:
+        return await soon(self.changes.get())
 
 
 @contextlib.asynccontextmanager
@@ -53,7 +53,7 @@
         registry.address,
         ("north", "south"),
         ("small", "large"),
-        lambda *news: result.news.put_nowait(news),
+        lambda *change: result.changes.put_nowait(change),
         max_silence,
         queued_callers,
         **limits,
@@ -68,36 +68,40 @@
     registry.stop()
 
 
-def test_the_known_list_is_cached_and_the_watch_goes_on_from_it() -> None:
+def test_the_configured_list_is_reported_as_cached_and_the_watch_starts_from_its_index() -> None:
     async def test() -> None:
         async with bench() as b:
-            kind, servers, _ = await b.told()
+            kind, hosts, _ = await b.next_change()
             assert kind is api.ListKind.CACHED
-            assert servers[0] == api.HostInfo("s-1", api.HostState.HEALTHY, 1.0, zone=1, cell=1, kind=1)
+            assert hosts[0] == api.HostInfo("s-1", api.HostState.HEALTHY, 1.0, zone=1, cell=1, kind=1)
             watch = await b.registry.watch()
             assert watch.message.first == b"GET /discovery/hosts?stream=1&index=41 HTTP/1.1"
 
     run(test())
 
 
-def test_changes_merge_over_broken_chunks_and_a_snapshot_replaces() -> None:
+def test_changes_split_over_chunks_are_merged_and_a_snapshot_replaces_the_list() -> None:
     async def test() -> None:
         async with bench() as b:
-            await b.told()
+            await b.next_change()
             watch = await b.registry.watch()
-            news = line(42, entry("s-1", 1, status="leaving"), entry("s-3", 3, zone="north", since_ms=1500))
+            message = line(
+                42, entry("s-1", 1, status="leaving"), entry("s-3", 3, zone="north", since_ms=1500)
+            )
             watch.reply(
-                chunk(b"\n") + chunk(news[:50]) + chunk(news[50:] + line(43, entry("s-2", 2, status="left")))
+                chunk(b"\n")
+                + chunk(message[:50])
+                + chunk(message[50:] + line(43, entry("s-2", 2, status="left")))
             )
-            kind, servers, stale = await b.told()
-            assert kind is api.ListKind.CHANGES and stale == [("s-1", 0.0, ("127.0.0.1", 1))]
-            assert servers[0].state is api.HostState.DRAINING
-            assert (servers[1].zone, servers[1].started_at) == (0, 1.5)
-            _, (gone,), stale = await b.told()
-            assert gone.state is api.HostState.GONE and ("s-2", 0.0, ("127.0.0.1", 2)) in stale
+            kind, hosts, retired = await b.next_change()
+            assert kind is api.ListKind.CHANGES and retired == [("s-1", 0.0, ("127.0.0.1", 1))]
+            assert hosts[0].state is api.HostState.DRAINING
+            assert (hosts[1].zone, hosts[1].started_at) == (0, 1.5)
+            _, (gone,), retired = await b.next_change()
+            assert gone.state is api.HostState.GONE and ("s-2", 0.0, ("127.0.0.1", 2)) in retired
             assert set(b.discovery.endpoints) == {"s-1", "s-3"}
             watch.reply(chunk(line(50, entry("s-4", 4), snapshot=True)))
-            kind, _, _ = await b.told()
+            kind, _, _ = await b.next_change()
             assert kind is api.ListKind.FULL and set(b.discovery.endpoints) == {"s-4"}
             watch.close()
             assert b"index=50 " in (await b.registry.watch()).message.first
@@ -105,13 +109,13 @@
     run(test())
 
 
-def test_a_host_that_restarts_or_moves_leaves_its_connections() -> None:
+def test_connections_to_a_host_that_has_restarted_or_moved_are_retired() -> None:
     async def test() -> None:
         async with bench() as b:
-            await b.told()
+            await b.next_change()
             watch = await b.registry.watch()
             watch.reply(chunk(line(42, entry("s-1", 1, since_ms=9000), entry("s-2", 22))))
-            assert (await b.told())[2] == [
+            assert (await b.next_change())[2] == [
                 ("s-1", 0.0, ("127.0.0.1", 1)),
                 ("s-2", 0.0, ("127.0.0.1", 2)),
             ]
@@ -119,23 +123,23 @@
     run(test())
 
 
-def test_a_host_is_told_as_draining_as_often_as_it_comes() -> None:
-    """Told once or twice, in a change or in a whole list: it takes nothing new until it is told as active."""
+def test_a_repeated_drain_keeps_the_host_draining() -> None:
+    """Whether in changes or in a full list: only an entry with status active ends the drain."""
 
     async def test() -> None:
         async with bench() as b:
             leaving, place = entry("s-1", 1, status="leaving"), ("s-1", 0.0, ("127.0.0.1", 1))
-            await b.told()
+            await b.next_change()
             for snapshot in (False, False, True):
                 b.discovery.apply({"index": 42, "endpoints": [leaving], "snapshot": snapshot})
-                assert b.discovery.endpoints["s-1"].draining and place in (await b.told())[2]
+                assert b.discovery.endpoints["s-1"].draining and place in (await b.next_change())[2]
             b.discovery.apply({"index": 45, "endpoints": [entry("s-1", 1, since_ms=9000)]})
             assert not b.discovery.endpoints["s-1"].draining
 
     run(test())
 
 
-def test_a_silent_watch_is_made_anew() -> None:
+def test_a_silent_watch_is_replaced() -> None:
     async def test() -> None:
         async with bench(max_silence=0.05) as b:
             await b.registry.watch()
@@ -145,41 +149,41 @@
     run(test())
 
 
-def test_a_broken_message_or_status_ends_the_watch_but_not_the_following() -> None:
+def test_an_invalid_message_or_status_ends_the_watch_and_a_new_one_is_opened() -> None:
     async def test() -> None:
         async with bench() as b:
-            await b.told()
+            await b.next_change()
             (await b.registry.watch()).reply(chunk(b"{nonsense\n"))
             (await b.registry.next()).reply(answer(503, b""))
             watch = await b.registry.watch()
             watch.reply(chunk(line(44, {"name": "s-9"}, entry("s-5", 5))))
-            assert [s.id for s in (await b.told())[1]] == ["s-5"]
+            assert [s.id for s in (await b.next_change())[1]] == ["s-5"]
 
     run(test())
 
 
-def test_an_agent_that_is_back_is_asked_within_the_grace_of_a_drain() -> None:
-    """However long it was silent: what it has learnt counts from its return, before the next try comes."""
+def test_an_agent_that_is_back_is_called_within_the_drain_grace() -> None:
+    """Even after the longest backoff: what the agent has learnt counts as known from its return."""
 
     async def test() -> None:
         async with bench(drain_grace=1.0) as b:
-            for _ in range(6):  # accepted and left unanswered, and the pauses have grown to their longest
+            for _ in range(6):  # accepted and left unanswered, until the backoff is at its maximum
                 await b.registry.next()
-            returned = asyncio.get_running_loop().time()  # just too late for that call
+            returned = asyncio.get_running_loop().time()  # just too late for the last call
             watch = await b.registry.watch()
             assert asyncio.get_running_loop().time() - returned < 1.0
             watch.reply(chunk(line(42, entry("s-1", 1, status="leaving"))))
-            await b.told()
-            assert (await b.told())[1][0].state is api.HostState.DRAINING
+            await b.next_change()
+            assert (await b.next_change())[1][0].state is api.HostState.DRAINING
 
     run(test())
 
 
 class Agent:
-    """Discovery as one finds it: for a while it fails in one way, then it has one change and tells it."""
+    """A discovery agent that fails in one way for a while, and then answers with one change."""
 
-    def __init__(self, fails: str, turn: float) -> None:
-        self.fails, self.turn, self.back_at = fails, turn, math.inf
+    def __init__(self, failure: str, response_time: float) -> None:
+        self.failure, self.response_time, self.back_at = failure, response_time, math.inf
         self.server: asyncio.Server | None = None
         self.address = ("127.0.0.1", 0)
         self.full: FullListener | None = None
@@ -187,12 +191,12 @@
         self.calls = 0
 
     async def start(self) -> None:
-        if self.fails == "hangs":
+        if self.failure == "hangs":
             self.full = FullListener()
             self.address = self.full.address
             return
         await self._listen()
-        if self.fails == "refused":
+        if self.failure == "refused":
             self._close()
 
     async def _listen(self) -> None:
@@ -214,18 +218,18 @@
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             await reader.readuntil(b"\r\n\r\n")
             if loop.time() > self.back_at:
-                await asyncio.sleep(self.turn)
+                await asyncio.sleep(self.response_time)
                 writer.write(WATCH_HEAD + chunk(line(42, entry("s-1", 1, status="leaving"))))
-            elif self.fails == "says 503":
+            elif self.failure == "responds 503":
                 writer.write(answer(503, b""))
-            elif self.fails == "tells half and closes":
+            elif self.failure == "sends half a message and closes":
                 writer.write(WATCH_HEAD + chunk(line(42, entry("s-9", 1))[:30]))
                 writer.close()
-            elif self.fails == "tells half":
+            elif self.failure == "sends half a message":
                 writer.write(WATCH_HEAD + chunk(line(42, entry("s-9", 1))[:30]))
-            elif self.fails == "falls silent" and self.calls == 1:
+            elif self.failure == "falls silent" and self.calls == 1:
                 writer.write(WATCH_HEAD + chunk(b"\n"))
-            elif self.fails == "resets" and self.calls == 1:
+            elif self.failure == "resets" and self.calls == 1:
                 writer.write(WATCH_HEAD + chunk(b"\n"))
                 await asyncio.sleep(1.0)
                 writer.transport.abort()
@@ -241,35 +245,35 @@
             writer.transport.abort()
 
 
-class Longest(random.Random):
-    """Draws the longest pause each time."""
+class LongestDelay(random.Random):
+    """Draws the longest delay each time."""
 
     def random(self) -> float:
         return 0.999
 
 
 FAILURES = [
-    "refused", "hangs", "never answers", "says 503", "tells half", "tells half and closes", "falls silent",
-    "resets",
+    "refused", "hangs", "never responds", "responds 503", "sends half a message",
+    "sends half a message and closes", "falls silent", "resets",
 ]  # fmt: skip
 
 
 @pytest.mark.parametrize("callers", [0, 6, 1024])
-@pytest.mark.parametrize("fails", FAILURES)
-def test_whatever_calls_have_failed_a_change_is_heard_before_it_counts_as_told(
-    fails: str, callers: int
+@pytest.mark.parametrize("failure", FAILURES)
+def test_a_change_arrives_within_the_propagation_delay_however_calls_have_failed(
+    failure: str, callers: int
 ) -> None:
-    """In a line each answer takes as long as one may; discovery is back at any moment of the tries before."""
-    turn = MAX_QUEUE_WAIT_S if callers else 0.0
+    """A queue answers each call as late as it may; discovery comes back at any moment between two calls."""
+    response_time = MAX_QUEUE_WAIT_S if callers else 0.0
 
     async def test(phase: float) -> float:
-        loop, agent = asyncio.get_running_loop(), Agent(fails, turn)
+        loop, agent = asyncio.get_running_loop(), Agent(failure, response_time)
         await agent.start()
-        heard = loop.create_future()
+        received = loop.create_future()
 
-        def on_change(kind: api.ListKind, servers: tuple[api.HostInfo, ...], stale: list[Place]) -> None:
-            if any(s.state is api.HostState.DRAINING for s in servers) and not heard.done():
-                heard.set_result(loop.time())
+        def on_change(kind: api.ListKind, hosts: tuple[api.HostInfo, ...], retired: list[Place]) -> None:
+            if any(s.state is api.HostState.DRAINING for s in hosts) and not received.done():
+                received.set_result(loop.time())
 
         limits = {
             "queued_callers": callers,
@@ -277,15 +281,15 @@
             "max_propagation_delay": MAX_PROPAGATION_DELAY_S,
         }
         discovery = Discovery(agent.address, (), (), on_change, **limits)
-        discovery.random = Longest()
+        discovery.random = LongestDelay()
         discovery.apply({"index": 41, "endpoints": [entry("s-1", 1)]}, cached=True)
         following = asyncio.create_task(discovery.run())
-        # A watch that falls silent, or is reset, has missed what comes right after; the others fail for long.
+        # If the watch falls silent or is reset, the change comes right after; else calls fail for a while.
         await asyncio.sleep(
-            phase if fails not in ("falls silent", "resets") else discovery.call_spread + phase
+            phase if failure not in ("falls silent", "resets") else discovery.call_spread + phase
         )
         await agent.come_back()
-        took = await heard - agent.back_at
+        took = await received - agent.back_at
         following.cancel()
         agent.stop()
         return took
@@ -298,19 +302,19 @@
             worst = max(worst, await test(9.0 + step * 0.37))
 
         run_jumping(phased())
-    assert turn <= worst < MAX_PROPAGATION_DELAY_S
+    assert response_time <= worst < MAX_PROPAGATION_DELAY_S
 
 
-def test_a_watch_that_falls_silent_soon_after_its_answer_is_noticed_as_soon(
+def test_a_watch_that_falls_silent_right_after_its_response_is_noticed_in_time(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """However long its call might have waited in a line."""
+    """The time that a queued call may wait for its response does not count."""
 
     async def test() -> None:
         async with bench(max_silence=0.2, queued_callers=1) as b:
-            await b.told()
+            await b.next_change()
             (await b.registry.watch()).reply(chunk(line(42, entry("s-3", 3))))
-            await b.told()
+            await b.next_change()
             await b.registry.watch()
 
     monkeypatch.setattr("coralvale.net.discovery.QUEUED_RESPONSE_TIMEOUT_S", 10 * LIMIT)
@@ -318,20 +322,20 @@
 
 
 @pytest.mark.parametrize("address", ["x" * 300 + ":80", "h.internal:80", "127.0.0.1", "127.0.0.1:", 80])
-def test_an_entry_whose_address_cannot_be_used_is_left_out(address: Any) -> None:
-    """Noticed only when a request has chosen the host, it would leave that attempt without an outcome."""
+def test_an_entry_with_an_invalid_address_is_left_out(address: Any) -> None:
+    """If it were noticed only on sending to the host, that attempt would have no outcome."""
 
     async def test() -> None:
         async with bench() as b:
-            await b.told()
+            await b.next_change()
             watch = await b.registry.watch()
             watch.reply(chunk(line(42, {**entry("s-3", 3), "address": address}, entry("s-4", 4))))
-            assert [s.id for s in (await b.told())[1]] == ["s-4"]
+            assert [s.id for s in (await b.next_change())[1]] == ["s-4"]
 
     run(test())
 
 
-def test_a_refresh_asks_for_the_whole_list() -> None:
+def test_a_refresh_asks_for_the_full_list() -> None:
     async def test() -> None:
         async with bench() as b:
             await b.registry.watch()
@@ -341,10 +345,10 @@
     run(test())
 
 
-def test_a_move_begins_anew_at_the_new_address_and_keeps_the_list_till_then() -> None:
+def test_a_move_asks_the_new_agent_for_the_full_list_and_keeps_the_old_list_until_then() -> None:
     async def test() -> None:
         async with bench() as b:
-            await b.told()
+            await b.next_change()
             await b.registry.watch()
             other = Registry()
             await other.start()
@@ -354,19 +358,19 @@
             assert set(b.discovery.endpoints) == {"s-1", "s-2"}
             await until(lambda: b.registry.closed == 1)
             watch.reply(chunk(line(3, entry("s-4", 4), snapshot=True)))
-            kind, servers, _ = await b.told()
-            assert kind is api.ListKind.FULL and [s.id for s in servers] == ["s-4"]
+            kind, hosts, _ = await b.next_change()
+            assert kind is api.ListKind.FULL and [s.id for s in hosts] == ["s-4"]
             other.stop()
 
     run(test())
 
 
-def test_a_move_does_not_wait_for_a_connect_that_hangs_nor_for_a_long_pause() -> None:
-    """As often as it moves: also before anything has come of the move before."""
+def test_a_move_waits_neither_for_a_hanging_connect_nor_for_the_backoff() -> None:
+    """Also if the next move comes before the previous one has had any effect."""
 
     async def test() -> None:
         async with bench() as b:
-            await b.told()
+            await b.next_change()
             b.registry.stop()
             b.discovery.backoff = 10 * LIMIT
             other = Registry()
@@ -391,14 +395,14 @@
         b"[" * 100_000 + b"\n",
     ],
 )
-def test_a_line_that_cannot_be_used_loses_no_other_and_the_whole_list_is_asked_for(bad: bytes) -> None:
+def test_an_invalid_line_loses_no_other_and_the_full_list_is_asked_for(bad: bytes) -> None:
     async def test() -> None:
         async with bench() as b:
-            await b.told()
+            await b.next_change()
             watch = await b.registry.watch()
             watch.reply(chunk(bad + line(42, entry("s-3", 3))))
-            _, servers, _ = await b.told()
-            assert [s.id for s in servers] == ["s-3"] and set(b.discovery.endpoints) == {"s-1", "s-2", "s-3"}
+            _, hosts, _ = await b.next_change()
+            assert [s.id for s in hosts] == ["s-3"] and set(b.discovery.endpoints) == {"s-1", "s-2", "s-3"}
             again = await b.registry.watch()
             assert again.message.first == b"GET /discovery/hosts?stream=1 HTTP/1.1"
 
@@ -407,36 +411,36 @@
 
 @pytest.mark.parametrize("indent", [0, 2])
 @pytest.mark.parametrize("piece", [7, 10_000])
-def test_a_list_may_come_indented_in_pieces_of_any_size(indent: int, piece: int) -> None:
-    """The watch goes on: a list taken for a spoilt one would be asked for anew, again and again."""
+def test_a_list_may_be_indented_and_arrive_in_pieces_of_any_size(indent: int, piece: int) -> None:
+    """The watch stays open: a list taken for invalid would be asked for again and again."""
 
     async def test() -> None:
         async with bench() as b:
-            await b.told()
+            await b.next_change()
             watch = await b.registry.watch()
-            hosts = [entry("s-3", 3, zone="}\u00e9{"), entry("s-4", 4)]
-            news = {"index": 42, "snapshot": True, "endpoints": hosts}
+            entries = [entry("s-3", 3, zone="}\u00e9{"), entry("s-4", 4)]
+            message = {"index": 42, "snapshot": True, "endpoints": entries}
             text = (
-                json.dumps(news, indent=indent, ensure_ascii=False)
+                json.dumps(message, indent=indent, ensure_ascii=False)
                 + "\n\n"
                 + line(43, entry("s-5", 5)).decode()
             )
             data = text.encode()
             for at in range(0, len(data), piece):
                 watch.reply(chunk(data[at : at + piece]))
-            kind, servers, _ = await b.told()
-            assert kind is api.ListKind.FULL and [s.id for s in servers] == ["s-3", "s-4"]
-            kind, servers, _ = await b.told()
-            assert kind is api.ListKind.CHANGES and [s.id for s in servers] == ["s-5"]
+            kind, hosts, _ = await b.next_change()
+            assert kind is api.ListKind.FULL and [s.id for s in hosts] == ["s-3", "s-4"]
+            kind, hosts, _ = await b.next_change()
+            assert kind is api.ListKind.CHANGES and [s.id for s in hosts] == ["s-5"]
             assert b.discovery.index == 43 and b.registry.connections == 1
 
     run(test())
 
 
-def test_a_message_that_breaks_off_is_asked_for_anew_at_the_next_sign_of_life() -> None:
+def test_a_truncated_message_has_the_full_list_asked_for_at_the_next_heartbeat() -> None:
     async def test() -> None:
         async with bench() as b:
-            await b.told()
+            await b.next_change()
             watch = await b.registry.watch()
             watch.reply(chunk(line(42, entry("s-3", 3))[:60] + b"\n"))
             watch.reply(chunk(b"\n"))
@@ -446,24 +450,24 @@
     run(test())
 
 
-def test_a_message_behind_one_that_broke_off_waits_for_nothing() -> None:
+def test_a_message_after_a_truncated_one_is_applied_at_once() -> None:
     async def test() -> None:
         async with bench() as b:
-            await b.told()
+            await b.next_change()
             watch = await b.registry.watch()
             half = json.dumps({"index": 42, "endpoints": [entry("s-7", 7)]}, indent=2)[:60].encode()
             watch.reply(chunk(half + b"\n") + chunk(line(43, entry("s-8", 8))))
-            assert [s.id for s in (await b.told())[1]] == ["s-8"]
+            assert [s.id for s in (await b.next_change())[1]] == ["s-8"]
 
     run(test())
 
 
-def test_changes_with_an_index_that_went_backwards_have_the_whole_list_asked_for() -> None:
-    """A registry that was set back: what it told of the list since then is not what is held here."""
+def test_changes_with_a_lower_index_have_the_full_list_asked_for() -> None:
+    """A registry restored to an earlier state: the changes since do not apply to the current list."""
 
     async def test() -> None:
         async with bench() as b:
-            await b.told()
+            await b.next_change()
             watch = await b.registry.watch()
             watch.reply(chunk(line(7, entry("s-3", 3))))
             again = await b.registry.watch()
@@ -476,12 +480,12 @@
 
 
 @pytest.mark.parametrize("piece", [30, None])
-def test_a_watch_that_ends_in_the_middle_of_a_message_goes_on_from_the_last_whole_one(
+def test_after_a_watch_lost_within_a_message_the_next_starts_from_the_last_complete_one(
     piece: int | None,
 ) -> None:
     async def test() -> None:
         async with bench() as b:
-            await b.told()
+            await b.next_change()
             watch = await b.registry.watch()
             watch.reply(chunk(line(42, entry("s-3", 3))) + chunk(line(43, entry("s-4", 4)))[:piece])
             last = 42 if piece else 43
@@ -493,29 +497,29 @@
     run(test())
 
 
-def test_a_bad_index_or_field_costs_only_itself() -> None:
+def test_an_invalid_index_or_field_does_not_affect_other_entries() -> None:
     async def test() -> None:
         async with bench() as b:
-            await b.told()
+            await b.next_change()
             watch = await b.registry.watch()
-            news = {"index": "x", "snapshot": True}
-            hosts: list[Any] = [
+            message = {"index": "x", "snapshot": True}
+            entries: list[Any] = [
                 entry("s-1", 1, weight="heavy"),
                 7,
                 entry("s-4", 4),
                 entry("s-5", 5, weight=1e999),
             ]
-            watch.reply(chunk(json.dumps({**news, "endpoints": hosts}).encode() + b"\n"))
-            kind, servers, _ = await b.told()
+            watch.reply(chunk(json.dumps({**message, "endpoints": entries}).encode() + b"\n"))
+            kind, hosts, _ = await b.next_change()
             assert kind is api.ListKind.FULL
-            assert [s.id for s in servers] == ["s-1", "s-4"]  # what was known of s-1 still holds
+            assert [s.id for s in hosts] == ["s-1", "s-4"]  # s-1 stays as it was
             assert set(b.discovery.endpoints) == {"s-1", "s-4"} and b.discovery.index is None
 
     run(test())
 
 
-def test_a_call_in_a_line_is_not_left_before_its_turn() -> None:
-    """One that is left is served all the same, and the next call waits behind it."""
+def test_a_queued_call_is_not_abandoned_before_its_turn() -> None:
+    """Discovery would still serve the abandoned call, and the next call would wait behind it."""
 
     async def test() -> None:
         async with bench(max_silence=0.05, queued_callers=1) as b:
@@ -523,15 +527,15 @@
             with pytest.raises(TimeoutError):
                 await asyncio.wait_for(b.registry.next(), 0.4)
             arrived.reply(WATCH_HEAD + chunk(line(42, entry("s-3", 3))))
-            await b.told()
-            await b.told()
+            await b.next_change()
+            await b.next_change()
             assert set(b.discovery.endpoints) == {"s-1", "s-2", "s-3"}
 
     run(test())
 
 
-def test_a_fleet_that_lost_discovery_together_comes_back_one_by_one() -> None:
-    def pauses(callers: int) -> list[float]:
+def test_gateways_that_lost_discovery_together_spread_their_calls() -> None:
+    def delays(callers: int) -> list[float]:
         drawn = []
         for seed in range(40):
             discovery = Discovery(("127.0.0.1", 1), (), (), lambda *_: None, queued_callers=callers)
@@ -539,14 +543,14 @@
             drawn.append(discovery._retry_delay(0.0))
         return sorted(drawn)
 
-    spread = pauses(40)
-    most = max(sum(at <= other < at + 1 for other in spread) for at in spread)
-    assert most <= 12  # a line of two seconds at a sixth of a second each: none waits too long
-    assert pauses(0)[-1] < 0.1  # an agent of one's own has no line
+    starts = delays(40)
+    most = max(sum(at <= other < at + 1 for other in starts) for at in starts)
+    assert most <= 12  # a queue of 2 s at 1/6 s for each call
+    assert delays(0)[-1] < 0.1  # the gateway's own agent has no queue
 
 
-def test_what_changes_is_followed_from_the_known_list_on() -> None:
-    """Asking to follow must not throw the known version away: a whole list costs discovery by the line."""
+def test_changes_are_followed_from_the_index_of_the_configured_list() -> None:
+    """`follow` must not discard the index: full lists are expensive for discovery."""
 
     async def test() -> None:
         async with bench() as b:
