--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""The node between the module and the sockets: one outcome an attempt, one answer a request."""
+"""The node between decision module and sockets: each attempt has one outcome, each request one response."""
 
 from __future__ import annotations
 
@@ -41,19 +41,23 @@
 from coralvale.net.upstream import REST, Attempt
 
 
-def send_all(w: World, *servers: str, until_in: float = 60.0) -> None:
-    """First and further attempts go to `servers` in turn; after the last the request fails."""
-    left = list(servers)
+def send_all(w: World, *hosts: str, timeout: float = 60.0) -> None:
+    """Has the module send the attempts of a request to `hosts` in turn; after the last the request fails."""
+    remaining = list(hosts)
 
-    def next_to(name: str) -> list[api.Action]:
-        return [api.Send(name, left.pop(0), w.node.clock.now() + until_in)] if left else [api.Fail(name)]
+    def send_next(name: str) -> list[api.Action]:
+        return (
+            [api.Send(name, remaining.pop(0), w.node.clock.now() + timeout)]
+            if remaining
+            else [api.Fail(name)]
+        )
 
-    w.script.on(api.Request, lambda e: next_to(e.id))
-    w.script.on(api.AttemptDone, lambda e: [] if e.request_done else next_to(e.request))
+    w.script.on(api.Request, lambda e: send_next(e.id))
+    w.script.on(api.AttemptDone, lambda e: [] if e.request_done else send_next(e.request))
 
 
 @pytest.mark.parametrize(("cls", "method"), [("read", b"GET"), ("write", b"POST")])
-def test_a_request_goes_on_and_the_answer_comes_back_unchanged(cls: str, method: bytes) -> None:
+def test_a_request_and_its_response_are_passed_on_unchanged(cls: str, method: bytes) -> None:
     async def test() -> None:
         host = await Peer().start()
         async with world(entry("s-1", host.port)) as w:
@@ -79,7 +83,7 @@
     run(test())
 
 
-def test_the_module_decides_on_each_further_attempt() -> None:
+def test_the_decision_module_decides_on_each_further_attempt() -> None:
     async def test() -> None:
         host = await Peer().start()
         async with world(entry("s-1", host.port), entry("s-2", host.port)) as w:
@@ -99,11 +103,11 @@
     run(test())
 
 
-def test_an_attempt_ends_at_its_time_and_the_request_at_the_clients() -> None:
+def test_an_attempt_ends_at_its_deadline_and_the_request_at_the_clients_timeout() -> None:
     async def test() -> None:
         host = await Peer().start()
         async with world(entry("s-1", host.port), entry("s-2", host.port)) as w:
-            send_all(w, "s-1", "s-2", until_in=0.05)
+            send_all(w, "s-1", "s-2", timeout=0.05)
             assert (await w.ask(request())).status == 504
             assert [d.outcome for d in w.script.of(api.AttemptDone)] == [Outcome.TIMEOUT] * 2
             send_all(w, "s-1")
@@ -115,7 +119,7 @@
     run(test())
 
 
-def test_a_module_that_says_nothing_loses_no_request() -> None:
+def test_a_request_without_a_decision_is_answered() -> None:
     async def test() -> None:
         async with world() as w:
             message = await w.ask(request(X_Timeout="0.1"))
@@ -128,7 +132,7 @@
     run(test())
 
 
-def test_an_attempt_has_one_outcome_after_the_client_left_too() -> None:
+def test_an_attempt_has_one_outcome_even_if_the_client_has_left() -> None:
     async def test() -> None:
         host = await Peer().start()
         async with world(entry("s-1", host.port)) as w:
@@ -147,7 +151,7 @@
     run(test())
 
 
-def test_a_cancelled_attempt_is_closed_and_told_once() -> None:
+def test_a_cancelled_attempt_is_closed_and_reported_once() -> None:
     async def test() -> None:
         host = await Peer().start()
         async with world(entry("s-1", host.port)) as w:
@@ -166,7 +170,7 @@
 
 
 @pytest.mark.parametrize("change", ["left", "leaving", "restarted", "moved", "client", "none"])
-def test_between_connect_and_write_the_host_and_the_client_are_looked_at_again(change: str) -> None:
+def test_host_and_client_are_checked_again_between_connect_and_write(change: str) -> None:
     async def test() -> None:
         host = await Peer(answer()).start()
         known = entry("s-1", host.port)
@@ -202,8 +206,8 @@
 
 
 @pytest.mark.parametrize("attempt", ["first", "further"])
-def test_nothing_is_sent_for_a_client_whose_end_is_here_and_not_read_yet(attempt: str) -> None:
-    """A kept connection is there, so an attempt is written before the loop comes to the client's end."""
+def test_nothing_is_sent_for_a_client_that_has_closed_before_the_loop_notices(attempt: str) -> None:
+    """With an idle connection to the host, an attempt is written before the loop reads the client's close."""
 
     async def test() -> None:
         host, first = await Peer(answer()).start(), await Peer().start()
@@ -214,22 +218,22 @@
             await until(lambda: pool.idle and w.node.clock.now() - pool.idle[0].idle_since > 2 * REST)
             with socket.create_connection(("127.0.0.1", w.node.server.port)) as client:
                 client.sendall(request("r1"))
-                if attempt == "further":  # the host's answer is the first that the loop finds, then the end
+                if attempt == "further":  # the loop reads the host's response first, then the client's close
                     arrived = await first.next()
                     descriptor = arrived.writer.get_extra_info("socket").fileno()
                     os.write(descriptor, answer(503, X_Not_Processed="1"))
             await until(lambda: w.script.of(api.RequestAbandoned) and not w.node.pending)
             assert w.script.of(api.AttemptDone)[-1].outcome is Outcome.NOT_SENT
-            assert host.arrived.qsize() == 1  # the one before
+            assert host.arrived.qsize() == 1  # only the first one
         host.stop()
         first.stop()
 
     run(test())
 
 
-@pytest.mark.parametrize("waits", ["for a connection", "for the module"])
-def test_a_client_that_left_behind_unread_bytes_is_noticed(waits: str) -> None:
-    """So many requests of its connection are open that it is not read, and its end stands behind the rest."""
+@pytest.mark.parametrize("waits", ["for a connection", "for the decision module"])
+def test_a_client_that_closes_while_its_connection_is_not_read_is_noticed(waits: str) -> None:
+    """Its connection has too many open requests to be read, and its close follows unread bytes."""
 
     async def test() -> None:
         host = await Peer(answer()).start()
@@ -253,7 +257,9 @@
     run(test())
 
 
-def test_a_failing_module_loses_no_request_and_keeps_its_timer(caplog: pytest.LogCaptureFixture) -> None:
+def test_if_the_decision_module_fails_requests_are_answered_and_timers_set_again(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
     class Broken(RuntimeError):
         pass
 
@@ -265,7 +271,9 @@
         async with world(entry("s-1", host.port)) as w:
             client = await w.client()
             w.script.on(api.Request, fail)
-            assert (await client.ask(request("r1", "write"))).status == 503  # nothing was sent: no harm
+            assert (
+                await client.ask(request("r1", "write"))
+            ).status == 503  # nothing was sent, so trying again does no harm
             send_all(w, "s-1")
             w.script.on(api.AttemptDone, fail)
             client.send(request("r2", "write"))
@@ -286,7 +294,7 @@
     assert "Broken: by design" in caplog.text and "Traceback" in caplog.text
 
 
-def test_a_finished_request_leaves_nothing_behind() -> None:
+def test_a_finished_request_leaves_no_objects_to_the_garbage_collector() -> None:
     async def test() -> None:
         host = await Peer(answer()).start()
         async with world(entry("s-1", host.port)) as w:
@@ -302,13 +310,13 @@
                 left = [o for o in gc.get_objects() if isinstance(o, PendingRequest | Attempt | Exchange)]
             finally:
                 gc.enable()
-            assert len(left) <= 3  # what the frames of the last one may still name
+            assert len(left) <= 3  # those that frames of the last request may still refer to
         host.stop()
 
     run(test())
 
 
-def test_probes_and_counts_are_answered() -> None:
+def test_probes_and_counter_calls_are_answered() -> None:
     async def test() -> None:
         host = await Peer(answer()).start()
         async with world(entry("s-1", host.port)) as w:
@@ -328,7 +336,7 @@
     run(test())
 
 
-def test_the_inherited_module_serves_over_sockets() -> None:
+def test_the_real_decision_module_serves_over_sockets() -> None:
     async def test() -> None:
         hosts = [await Peer(answer(body=b"served")).start() for _ in range(3)]
         async with world(*(entry(f"s-{i}", h.port) for i, h in enumerate(hosts)), real=True) as w:
@@ -348,7 +356,7 @@
     run(test())
 
 
-def test_after_sigterm_all_that_was_taken_is_answered() -> None:
+def test_after_sigterm_all_requests_are_answered() -> None:
     async def test() -> None:
         host = await Peer().start()
         async with world(entry("s-1", host.port)) as w:
@@ -377,8 +385,8 @@
     run(test())
 
 
-def test_what_has_come_behind_an_open_request_is_answered_in_a_drain() -> None:
-    """Whole or by half: only the answer that nothing has come behind says that it is the last."""
+def test_pipelined_requests_are_answered_in_a_drain() -> None:
+    """Whether complete or partial: only the last response of the connection says that it is closed."""
 
     async def test() -> None:
         host = await Peer().start()
@@ -407,8 +415,8 @@
     run(test())
 
 
-def test_a_request_behind_the_one_that_ends_its_connection_is_let_go() -> None:
-    """The module is told of both its client's leaving and its attempt's end; nothing is written any more."""
+def test_a_request_pipelined_after_one_that_closes_the_connection_is_abandoned() -> None:
+    """The module gets both its RequestAbandoned and the end of its attempt; no response is written."""
 
     async def test() -> None:
         host = await Peer().start()
@@ -430,8 +438,8 @@
     run(test())
 
 
-def stop_by_hand(w: World) -> list[tuple[float, Any]]:
-    """SIGTERM, with the steps of the drain left to the test: when each is due, and what it does."""
+def stop_step_by_step(w: World) -> list[tuple[float, Any]]:
+    """Starts a drain without its timers: returns when each step is due (s), and the step."""
     steps: list[tuple[float, Any]] = []
     loop = w.node.loop
     w.node.loop = SimpleNamespace(call_later=lambda due, step: steps.append((due, step)))  # type: ignore[assignment]
@@ -440,29 +448,31 @@
     return sorted(steps, key=lambda step: step[0])
 
 
-def short(seconds: float) -> list[dict[str, Any]]:
+def with_timeout(seconds: float) -> list[dict[str, Any]]:
     return [{**c, "aim_s": seconds, "give_up_s": seconds} for c in SETTINGS["classes"]]
 
 
-def test_with_short_deadlines_too_the_drain_lasts_while_clients_come(monkeypatch: pytest.MonkeyPatch) -> None:
-    """New connections come for 0.4 s after SIGTERM, whatever the longest deadline is."""
+def test_with_short_timeouts_too_the_drain_lasts_while_clients_connect(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """New connections arrive for 0.4 s after SIGTERM, even if the longest timeout is shorter."""
 
     async def test() -> None:
         host = await Peer(answer(body=b"done")).start()
-        async with world(entry("s-1", host.port), classes=short(0.2)) as w:
+        async with world(entry("s-1", host.port), classes=with_timeout(0.2)) as w:
             send_all(w, "s-1")
-            for due, step in stop_by_hand(w):
+            for due, step in stop_step_by_step(w):
                 if due <= 0.4:
                     step()
             assert (await w.ask(request())).status == 200
         host.stop()
 
-    monkeypatch.setattr(Clock, "now", lambda _: 1000.0)  # a late loop must not use up the short deadline
+    monkeypatch.setattr(Clock, "now", lambda _: 1000.0)  # a late loop must not use up the short timeout
     run_jumping(test())
 
 
 def test_a_new_connection_has_time_for_its_first_request_in_a_drain(monkeypatch: pytest.MonkeyPatch) -> None:
-    """One that came in as the idle ones were closed: its request may be a moment behind it."""
+    """A connection opened just as idle ones are closed: its request may arrive a moment later."""
 
     async def test() -> None:
         host = await Peer(answer(body=b"done")).start()
@@ -473,7 +483,7 @@
             client = await w.client()
             await until(lambda: len(w.node.server.connections) == 2)
             clock.now += SETTLING - 0.001
-            for due, step in stop_by_hand(w):
+            for due, step in stop_step_by_step(w):
                 if due <= 0.5:
                     step()
             assert await idle.at_end()
@@ -485,20 +495,20 @@
     run(test())
 
 
-def test_nothing_is_sent_on_when_the_drains_time_is_up() -> None:
-    """The module knows of the client's time only, and would try the other host."""
+def test_no_attempt_is_sent_after_the_end_of_the_drain() -> None:
+    """The module knows only the client's timeout, and would try the other host."""
 
     async def test() -> None:
         hung, other = await Peer().start(), await Peer(answer(body=b"done")).start()
         async with world(entry("s-1", hung.port), entry("s-2", other.port)) as w:
             send_all(w, "s-2", "s-1", "s-2")
             assert (await w.ask(request("r1"))).body == b"done"
-            (kept,) = w.node.upstreams.connections  # and rested: a send on it would leave at once
+            (kept,) = w.node.upstreams.connections  # idle long enough for an attempt to be sent on it at once
             await until(lambda: w.node.clock.now() - kept.idle_since > REST)
             client = await w.client()
             client.send(request("r2"))
             await hung.next()
-            steps = stop_by_hand(w)
+            steps = stop_step_by_step(w)
             next(step for _, step in steps if step == w.node._end_drain)()
             assert [e.outcome for e in w.script.of(api.AttemptDone)][1:] == [
                 Outcome.TIMEOUT,
@@ -512,7 +522,7 @@
 
 
 @pytest.mark.parametrize("waits", ["for the counter", "for a connection", "for the answer"])
-def test_sigterm_finds_a_request_at_each_of_its_stages_and_answers_it_once(waits: str) -> None:
+def test_a_request_is_answered_once_at_whatever_stage_sigterm_comes(waits: str) -> None:
     async def test() -> None:
         host = await Peer().start()
         async with world(entry("s-1", host.port)) as w:
@@ -542,8 +552,8 @@
     run(test())
 
 
-def test_answers_half_written_at_sigterm_arrive_whole() -> None:
-    """A client that reads late: what it is owed is more than the kernel's buffers were made for."""
+def test_responses_partly_written_at_sigterm_arrive_complete() -> None:
+    """A client that reads late: its responses are larger than the kernel's buffers."""
 
     async def test() -> None:
         host = await Peer().start()
@@ -571,7 +581,7 @@
     run(test())
 
 
-def test_sighup_in_a_drain_disturbs_no_answer() -> None:
+def test_sighup_during_a_drain_disturbs_no_response() -> None:
     async def test() -> None:
         host, registry, counter = await Peer().start(), Registry(), await Peer().start()
         await registry.start()
@@ -593,8 +603,8 @@
     run(test())
 
 
-def connect_unseen(w: World, count: int) -> list[socket.socket]:
-    """Connections that the kernel accepts while the loop, which gets no turn here, sees none of them."""
+def connect_unaccepted(w: World, count: int) -> list[socket.socket]:
+    """Opens connections that only the kernel has accepted, as the event loop does not run in between."""
     address = ("127.0.0.1", w.node.server.port)
     return [socket.create_connection(address) for _ in range(count)]
 
@@ -605,7 +615,7 @@
 
 
 async def read_to_end(connection: socket.socket) -> bytes:
-    """What a client gets until its connection is closed; nothing if it is reset before its answer."""
+    """All that a client gets until its connection is closed; nothing if it is reset before its response."""
     connection.setblocking(False)
     reader, writer = await asyncio.open_connection(sock=connection)
     try:
@@ -620,27 +630,27 @@
     return await asyncio.gather(*map(read_to_end, connections))
 
 
-def take_steps(w: World, *names: str) -> None:
-    """SIGTERM, then steps of the drain that are overdue together: the loop reads nothing between them."""
-    steps = {step.__name__: step for _, step in stop_by_hand(w)}
+def run_drain_steps(w: World, *names: str) -> None:
+    """Starts a drain and runs overdue steps of it in a row, with nothing read from sockets in between."""
+    steps = {step.__name__: step for _, step in stop_step_by_step(w)}
     for name in names:
         steps[name]()
 
 
 @pytest.mark.parametrize("writes", ["before the listener is closed", "after it"])
-def test_all_that_the_kernel_accepted_is_taken_before_the_listener_is_closed(
+def test_all_connections_accepted_by_the_kernel_are_served_before_the_listener_is_closed(
     writes: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The loop is late: all limits on silence are over before it reads what the connections hold."""
+    """The event loop is late: all time limits on idle connections pass before it reads from them."""
 
     async def test() -> None:
         host = await Peer(answer(body=b"done")).start()
         async with world(entry("s-1", host.port), sockets=1024) as w:
             w.script.on(api.Request, lambda e: [api.Send(e.id, "s-1", 0.0)])
-            waiting = connect_unseen(w, 100)
+            waiting = connect_unaccepted(w, 100)
             if writes == "before the listener is closed":
                 send_numbered(waiting)
-            take_steps(w, "_close_idle", "_stop_accepting", "_close_idle")
+            run_drain_steps(w, "_close_idle", "_stop_accepting", "_close_idle")
             if writes == "after it":
                 send_numbered(waiting)
             w.node.server._sweep()
@@ -652,16 +662,16 @@
     run(test())
 
 
-def test_a_full_backlog_is_taken_to_its_last_connection(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The kernel lets one more wait than the backlog says."""
+def test_a_full_backlog_is_served_to_its_last_connection(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The kernel lets one connection more wait than the backlog."""
 
     async def test() -> None:
         host = await Peer(answer(body=b"done")).start()
         async with world(entry("s-1", host.port)) as w:
             w.script.on(api.Request, lambda e: [api.Send(e.id, "s-1", 0.0)])
-            waiting = connect_unseen(w, 9)
+            waiting = connect_unaccepted(w, 9)
             send_numbered(waiting)
-            take_steps(w, "_stop_accepting")
+            run_drain_steps(w, "_stop_accepting")
             assert all(b"done" in each for each in await read_all_to_end(waiting))
         host.stop()
 
@@ -670,8 +680,8 @@
     run(test())
 
 
-def test_the_listener_stays_open_while_the_kernel_holds_connections_that_have_no_room() -> None:
-    """The bound of connections is reached as the drain comes to close the listener."""
+def test_the_listener_stays_open_while_backlogged_connections_exceed_the_limit() -> None:
+    """The number of connections is at its limit when the drain is about to close the listener."""
 
     async def test() -> None:
         host = await Peer().start()
@@ -681,9 +691,9 @@
             busy = await w.client()
             busy.send(request("busy"))
             arrived = await host.next()
-            waiting = connect_unseen(w, 1)
+            waiting = connect_unaccepted(w, 1)
             send_numbered(waiting)
-            take_steps(w, "_stop_accepting")
+            run_drain_steps(w, "_stop_accepting")
             arrived.reply(answer(body=b"done"))
             assert (await busy.receive()).body == b"done"
             (await host.next()).reply(answer(body=b"done"))
@@ -694,36 +704,38 @@
     run(test())
 
 
-def test_a_late_loop_answers_what_it_has_not_read_before_it_ends(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The last steps of a drain come due together, ahead of the requests that the kernel holds already."""
+def test_a_late_event_loop_answers_unread_requests_before_it_stops(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The last steps of a drain are overdue together, and run before requests in the kernel are read."""
 
     async def test() -> None:
         async with world() as w:
 
             async def end_when_stopped() -> None:
-                """As the program does, whose loop cancels what still runs."""
+                """As in the program, where closing the event loop cancels the tasks that still run."""
                 await w.node.stopped
                 w.node.close()
                 for task in w.node.server.tasks:
                     task.cancel()
 
             ending = asyncio.create_task(end_when_stopped())
-            connections = connect_unseen(w, 2)
+            connections = connect_unaccepted(w, 2)
             await until(lambda: len(w.node.server.connections) == 2)
-            connections += connect_unseen(w, 2)
+            connections += connect_unaccepted(w, 2)
             send_numbered(connections)
-            take_steps(w, "_stop_accepting", "_end_drain")
-            time.sleep(2 * FLUSH_S)  # noqa: ASYNC251 - the loop itself is late
+            run_drain_steps(w, "_stop_accepting", "_end_drain")
+            time.sleep(2 * FLUSH_S)  # noqa: ASYNC251 - blocks the loop to make it late
             answers = await read_all_to_end(connections)
             assert [each[:12] for each in answers] == [b"HTTP/1.1 503"] * 4
             await soon(ending)
 
     monkeypatch.setattr("coralvale.net.node.MAX_TIMEOUT_BEFORE_KILL_S", 0.0)
-    monkeypatch.setattr("coralvale.net.node.KILL_DELAY_S", KILL_MARGIN_S)  # the drain's time is up at once
+    monkeypatch.setattr("coralvale.net.node.KILL_DELAY_S", KILL_MARGIN_S)  # the drain ends at once
     run(test())
 
 
-def test_what_is_unanswered_before_the_kill_is_answered_then(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_requests_unanswered_at_the_end_of_the_drain_are_answered_then(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def test() -> None:
         host = await Peer().start()
         async with world(entry("s-1", host.port)) as w:
@@ -740,8 +752,8 @@
     run(test())
 
 
-def test_a_request_that_a_host_leaves_unanswered_is_served_by_another_before_its_aim() -> None:
-    """The real module: an answer that stops short must not hold a safe request until the client gives up."""
+def test_a_request_that_a_host_never_finishes_is_served_by_another() -> None:
+    """The real module: a truncated response must not hold a safe request until the client times out."""
 
     async def test() -> None:
         hosts = [await Peer(answer()).start(), await Peer(answer()).start()]
@@ -749,7 +761,7 @@
         known = [entry(f"s-{host.port}", host.port) for host in hosts]
         async with world(*known, real=True, classes=[fast, SETTINGS["classes"][1]]) as w:
             client = await w.client()
-            for number in range(100):  # so that it knows what is usual
+            for number in range(100):  # to learn the usual latency
                 assert (await client.ask(request(f"r{number}"))).status == 200
             for host in hosts:
                 host.auto, host.arrived = None, asyncio.Queue()
@@ -767,8 +779,8 @@
     run(test())
 
 
-def test_one_refused_by_its_quota_is_told_to_come_back_before_its_aim() -> None:
-    """Another of the customer's gateways may have room; an answer after the aim is worth nothing."""
+def test_the_retry_after_of_a_quota_refusal_is_within_the_latency_target() -> None:
+    """Another of its gateways may have quota left, and a response after the target is worth nothing."""
 
     async def test() -> None:
         host = await Peer(answer()).start()
@@ -789,14 +801,14 @@
 
 
 @pytest.mark.parametrize("allowed", [True, False])
-def test_refusals_that_the_module_does_not_word_say_when_to_come_back_only_where_allowed(
+def test_refusals_by_the_node_carry_a_retry_after_only_where_allowed(
     allowed: bool,
 ) -> None:
-    """One beyond the most held, one on a connection beyond the bound, one that nobody decided on."""
+    """One beyond the limit of pending requests, one on a surplus connection, one without a decision."""
 
     async def test() -> None:
         ceilings = {"most_held": 1, "retry_after": allowed}
-        async with world(ceilings=ceilings, classes=short(0.3), sockets=64) as w:
+        async with world(ceilings=ceilings, classes=with_timeout(0.3), sockets=64) as w:
             first, second = await w.client(), await w.client()
             first.send(request("r1"))
             await until(lambda: w.node.pending)
@@ -805,7 +817,7 @@
             w.script.on(api.Request, lambda e: [])
             third = await w.client()
             for client in (first, second):
-                client.send(request("r3")[:20])  # not idle, so that none of them makes room
+                client.send(request("r3")[:20])  # not idle, so that neither is closed to make room
             refusals.append(await third.ask(request("r4")))
             for refusal in refusals:
                 assert refusal.status == 503 and (b"retry-after" in refusal.headers) == allowed
@@ -813,18 +825,18 @@
     run(test())
 
 
-def test_a_request_with_a_wrong_plan_or_set_does_not_settle_its_customer() -> None:
-    """The first request of a customer names a mean plan and a wide set; those that follow get their own."""
+def test_a_wrong_plan_or_spread_in_the_first_request_does_not_fix_them_for_the_customer() -> None:
+    """The first request names a small plan and a wide spread; those that follow get their own."""
 
     async def test() -> None:
         host = await Peer(answer()).start()
         plans = [
-            {"name": "mean", "per_second": 0.01, "most_at_once": 1.0},
+            {"name": "small", "per_second": 0.01, "most_at_once": 1.0},
             {"name": "team", "per_second": 1000.0, "most_at_once": 1000.0},
         ]
         async with world(entry("s-1", host.port), real=True, packages=plans) as w:
             client = await w.client()
-            wrong = request("r1", Plan="mean", Quota_Info="units=1,spread=3,first=0")
+            wrong = request("r1", Plan="small", Quota_Info="units=1,spread=3,first=0")
             assert (await client.ask(wrong)).status == 200
             for number in range(20):
                 assert (await client.ask(request(f"ok{number}"))).status == 200
@@ -835,8 +847,8 @@
     run(test())
 
 
-def test_units_settled_afterwards_come_off_the_bucket_as_the_answer_tells_them() -> None:
-    """The real module: a guess of one that was truly four leaves that much less for the next."""
+def test_billed_units_replace_the_estimate_in_the_bucket() -> None:
+    """The real module: an estimate of 1 unit that is billed as 4 leaves 3 less for the next request."""
 
     async def test() -> None:
         host = await Peer().start()
@@ -846,21 +858,21 @@
             entry("s-1", host.port), real=True, packages=[plan], family_info=family, n_instances=1
         ) as w:
             client = await w.client()
-            sets = {"Quota_Info": "units=1,spread=1,first=0"}
-            for id, told in (("r1", "4"), ("r2", "none"), ("r3", "9")):
-                client.send(request(id, **sets))
-                (await host.next()).reply(answer(body=b"done", Billed_Units=told))
+            quota = {"Quota_Info": "units=1,spread=1,first=0"}
+            for id, billed in (("r1", "4"), ("r2", "none"), ("r3", "9")):
+                client.send(request(id, **quota))
+                (await host.next()).reply(answer(body=b"done", Billed_Units=billed))
                 message = await client.receive()
                 assert message.body == b"done" and b"billed-units" not in message.headers
-            assert (await client.ask(request("r4", **sets))).status == 503
+            assert (await client.ask(request("r4", **quota))).status == 503
         host.stop()
 
     run(test())
 
 
 @pytest.mark.parametrize("ceiling", [False, True])
-def test_one_that_left_before_it_was_sent_has_taken_no_units(ceiling: bool) -> None:
-    """The real module: the next request finds the bucket, and the ceiling, as they were before."""
+def test_a_request_abandoned_before_it_was_sent_takes_no_units(ceiling: bool) -> None:
+    """The real module: the next request finds the bucket and the ceiling unchanged."""
 
     async def test() -> None:
         host = await Peer(answer(body=b"done")).start()
@@ -872,25 +884,25 @@
             entry("s-1", host.port), real=True, packages=[plan], family_info=family, n_instances=1
         ) as w:
             started, go = hold_connects(w.node.upstreams)
-            w.node.gateway.admission.born = -math.inf  # the ceiling is full
-            sets = {"Quota_Info": "units=1,spread=1,first=0"}
+            w.node.gateway.admission.born = -math.inf  # the ceiling allows its whole burst
+            quota = {"Quota_Info": "units=1,spread=1,first=0"}
             first, second = await w.client(), await w.client()
-            first.send(request("r1", **sets))
+            first.send(request("r1", **quota))
             await soon(started.wait())
             first.close()
             await until(lambda: w.node.pending["r1"].answered)
             go.set()
             await until(lambda: not w.node.pending)
             assert host.arrived.empty()
-            assert (await second.ask(request("r2", **sets))).body == b"done"
-            assert (await second.ask(request("r3", **sets))).status == 503
+            assert (await second.ask(request("r2", **quota))).body == b"done"
+            assert (await second.ask(request("r3", **quota))).status == 503
         host.stop()
 
     run(test())
 
 
-def test_a_customer_that_asks_for_little_has_the_whole_burst_at_any_gateway() -> None:
-    """Requests that belong together come to one gateway by chance; one that asks on and on has its part."""
+def test_a_customer_with_few_requests_has_the_whole_burst_at_any_gateway() -> None:
+    """A few requests may all come to one gateway by chance; a steady flow gets only the gateway's share."""
 
     async def test() -> None:
         host = await Peer(answer()).start()
@@ -900,7 +912,7 @@
             client = await w.client()
             headers = {"Quota_Info": "units=1,spread=3,first=1"}
             first = [(await client.ask(request(f"a{i}", **headers))).status for i in range(3)]
-            assert first == [200] * 3  # a third of the burst is two
+            assert first == [200] * 3  # a third of the burst is 2
             more = [(await client.ask(request(f"b{i}", **headers))).status for i in range(20)]
             assert more.count(200) <= 3
         host.stop()
@@ -908,8 +920,8 @@
     run(test())
 
 
-def test_a_lost_connection_is_told_from_a_lost_host() -> None:
-    """Single breaks pause no host that goes on answering; breaks in a row, or a refused connection, do."""
+def test_a_broken_connection_is_distinguished_from_a_failed_host() -> None:
+    """Single breaks pause no host that still responds; breaks in a row, or a refused connection, do."""
 
     async def test() -> None:
         host = await Peer().start()
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The program as it is started: configuration, signals, exit."""
+"""The program as a process: configuration, signals and exit codes."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 from coralvale.net.node import MAX_PROPAGATION_DELAY_S
 from testbed.standins.ports import free_port
 
-READY_WITHIN = 10.0  # s, as the standing test wants it of nine in ten
+READY_WITHIN = 10.0  # s; 9 in 10 gateways are required to be ready by then
 ROOT = Path(__file__).resolve().parent.parent
 
 
@@ -70,14 +70,14 @@
 
 
 async def end(process: asyncio.subprocess.Process) -> None:
-    """Ends a program as operators do; it has to end in order."""
+    """Stops the program with SIGTERM; it must exit with 0 and without a traceback."""
     process.send_signal(signal.SIGTERM)
     _, errors = await soon(process.communicate())
     assert process.returncode == 0 and b"Traceback" not in errors
 
 
-async def up(port: int) -> Client:
-    """A connection to a program that has become ready."""
+async def connect_when_ready(port: int) -> Client:
+    """Waits until the program is ready; returns a connection to it."""
     async with asyncio.timeout(LIMIT):
         while True:
             try:
@@ -90,7 +90,7 @@
             await asyncio.sleep(0.02)
 
 
-def test_nested_settings_take_the_paths_of_the_wire() -> None:
+def test_nested_settings_are_flattened_to_the_paths_of_the_simulators_wire() -> None:
     objects = [{"x": "y z"}, {"x": ""}]
     pairs = flatten({"a": {"b": 1.5, "on": True}, "list": objects, "words": ["p", "q"], "no": []})
     assert pairs == {
@@ -118,7 +118,7 @@
         ({"limits": {"sockets": 3}}, "sockets"),
     ],
 )
-def test_a_bad_configuration_is_named(tmp_path: Path, changes: dict[str, Any], named: str) -> None:
+def test_the_error_names_an_invalid_setting(tmp_path: Path, changes: dict[str, Any], named: str) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config(**changes)))
     with pytest.raises(ConfigError, match=named):
@@ -134,7 +134,7 @@
 
 
 @pytest.mark.parametrize("text", ["{", "{}", None])
-def test_a_bad_configuration_ends_the_program_with_one_line(tmp_path: Path, text: str | None) -> None:
+def test_an_invalid_configuration_ends_the_program_with_one_line(tmp_path: Path, text: str | None) -> None:
     async def test() -> None:
         path = tmp_path / "config.json"
         if text is not None:
@@ -172,10 +172,10 @@
         more = {"listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{registry.port}", "known": known}
         path.write_text(json.dumps(config(**more)))
         process = await start(path)
-        client = await up(port)
+        client = await connect_when_ready(port)
         assert (await client.ask(request())).body == b"served"
         threads = [p.read_text() for p in Path(f"/proc/{process.pid}/task").glob("*/comm")]
-        assert not [name for name in threads if name.startswith("iou-")]  # kernel threads that poll
+        assert not [name for name in threads if name.startswith("iou-")]  # polling kernel threads of io_uring
         process.send_signal(signal.SIGTERM)
         assert await client.at_end()
         await soon(process.communicate())
@@ -188,7 +188,7 @@
 
 @pytest.mark.parametrize("sockets", [64, 1024])
 def test_a_flood_of_connections_is_survived(tmp_path: Path, sockets: int) -> None:
-    """With 64 its own bounds hold it under the limit; where that sinks it runs out of them, and goes on."""
+    """With 64 sockets its own limits suffice; under a lower process limit it runs out, and must recover."""
 
     async def test() -> None:
         host, registry, port = await Peer().start(), Registry(), free_port()
@@ -202,10 +202,10 @@
         path = tmp_path / "config.json"
         path.write_text(json.dumps(config(**more)))
         process = await start(path, descriptors=sockets)
-        first = await up(port)
+        first = await connect_when_ready(port)
         if sockets > 64:
             resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (64, 64))
-        first.send(request("first"))  # a request under way, so that it is not closed as idle
+        first.send(request("first"))  # an open request, so that the connection is not closed as idle
         waiting = await host.next()
         flood = [Client(*await asyncio.open_connection("127.0.0.1", port)) for _ in range(150)]
         for client in flood:
@@ -215,7 +215,7 @@
             await soon(process.stderr.readuntil(b"cannot accept"))
         for client in flood:
             client.writer.transport.abort()
-        after = await up(port)
+        after = await connect_when_ready(port)
         after.send(request("after"))
         (await host.next()).reply(answer(body=b"served"))
         assert (await after.receive()).body == b"served"
@@ -229,10 +229,10 @@
 
 
 @pytest.mark.parametrize("sockets", [96, 1024])
-def test_idle_clients_leave_descriptors_to_the_watch_while_discovery_is_down(
+def test_idle_clients_leave_descriptors_for_the_watch_while_discovery_is_down(
     tmp_path: Path, sockets: int
 ) -> None:
-    """Also where the configuration allows more of them than there are."""
+    """Also if the configuration allows more descriptors than the process limit."""
 
     async def test() -> None:
         host, registry = await Peer(answer(body=b"new")).start(), Registry()
@@ -246,19 +246,19 @@
         path = tmp_path / "config.json"
         path.write_text(json.dumps(config(**more)))
         process = await start(path, descriptors=96)
-        await up(port)
+        await connect_when_ready(port)
         idle = [Client(*await asyncio.open_connection("127.0.0.1", port)) for _ in range(300)]
         for client in idle:
             client.send(b"GET /up HTTP/1.1\r\n\r\n")
         assert (await idle[0].receive()).status == 200
         async with asyncio.timeout(
             MAX_PROPAGATION_DELAY_S
-        ):  # they stay, and take each place that becomes free
+        ):  # the idle clients stay, and take each descriptor that is freed
             await registry.start(agent)
             watch = await registry.watch()
             watch.reply(chunk(line(2, entry("s-1", host.port))))
             answered = b""
-            while answered != b"new":  # until the program has taken the list in
+            while answered != b"new":  # until the program has read the list
                 asking = Client(*await asyncio.open_connection("127.0.0.1", port))
                 with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
                     answered = (await asking.ask(request())).body
@@ -271,16 +271,16 @@
 
 
 @pytest.mark.parametrize("mode", ["pushed", "on_request"])
-@pytest.mark.parametrize("agent", ["refuses", "never answers", "is full", "answers"])
+@pytest.mark.parametrize("agent", ["refuses", "never responds", "responds 503", "responds"])
 def test_gateways_restarted_together_are_ready_in_time(tmp_path: Path, agent: str, mode: str) -> None:
-    """Whatever discovery does: the list that they know will do."""
+    """Whatever discovery does: the configured list is enough."""
 
     async def test() -> None:
         registry, ports = Registry(), [free_port() for _ in range(6)]
         await registry.start()
-        if agent == "is full":
+        if agent == "responds 503":
             registry.auto = answer(503, b"")
-        if agent == "answers":
+        if agent == "responds":
             registry.auto = WATCH_HEAD + chunk(b"\n")
         processes = []
         async with asyncio.timeout(READY_WITHIN):
@@ -294,14 +294,14 @@
                 }
                 path.write_text(json.dumps(config(**more)))
                 processes.append(await start(path))
-            await asyncio.gather(*(up(port) for port in ports))
+            await asyncio.gather(*(connect_when_ready(port) for port in ports))
         await asyncio.gather(*map(end, processes))
         registry.stop()
 
     run(test())
 
 
-OTHERS: dict[str, dict[str, Any]] = {
+OTHER_SETTINGS: dict[str, dict[str, Any]] = {
     "an unsafe class with short deadlines, and nothing that is optional": {
         "classes": [
             {"name": "sell", "aim_s": 0.5, "give_up_s": 0.8, "worth": 0.0, "repeat": "single_shot"},
@@ -313,7 +313,7 @@
         "family_info": {"may_count": False, "use_period_s": 0.0, "post_paid": True},
         "registry_mode": "on_request",
     },
-    "names with signs, a class keyed by zone, a plan with a ceiling and costs of nought": {
+    "names with special characters, a class keyed by zone, a plan with a ceiling and zero costs": {
         "classes": [
             {
                 **{"name": "a.b/c=1;d", "aim_s": 0.3, "give_up_s": 2.0, "worth": 1.0, "repeat": "guarded"},
@@ -332,14 +332,14 @@
 }
 
 
-@pytest.mark.parametrize("name", OTHERS)
-def test_the_program_serves_customers_unlike_the_first(tmp_path: Path, name: str) -> None:
-    """Each class by its method; a second attempt where the first surely never ran; one that ran, once."""
+@pytest.mark.parametrize("name", OTHER_SETTINGS)
+def test_the_program_serves_with_other_classes_and_plans(tmp_path: Path, name: str) -> None:
+    """A second attempt follows one that was not processed, but none that an unsafe class may have run."""
 
     async def test() -> None:
         host, registry, port = await Peer().start(), await Registry().start(), free_port()
-        other = {key: value for key, value in settings().items() if key not in OTHERS[name]}
-        other |= OTHERS[name]
+        other = {key: value for key, value in settings().items() if key not in OTHER_SETTINGS[name]}
+        other |= OTHER_SETTINGS[name]
         hosts = [entry(f"s-{i}", host.port, zone="", type="") for i in range(2)]
         path = tmp_path / "config.json"
         more = {
@@ -348,7 +348,7 @@
         }
         path.write_text(json.dumps(config(**more)))
         process = await start(path)
-        client, (plan,) = await up(port), other["packages"]
+        client, (plan,) = await connect_when_ready(port), other["packages"]
 
         def ask(id: str, cls: dict[str, Any]) -> None:
             method = b"GET" if cls["repeat"] == "free" else b"POST"
@@ -358,7 +358,7 @@
 
         for number, cls in enumerate(other["classes"]):
             ask(f"twice{number}", cls)
-            if number == 0:  # the budget for further attempts is of one at the start
+            if number == 0:  # the retry budget is one attempt at the start
                 (await host.next()).reply(answer(503, X_Not_Processed="1"))
             (await host.next()).reply(answer(body=b"served", Billed_Units="1"))
             assert (await client.receive()).body == b"served"
@@ -375,12 +375,12 @@
     run(test())
 
 
-def test_sigterm_before_it_is_ready_ends_the_program_in_order(tmp_path: Path) -> None:
-    """The listener is open, and no list has come: who has connected is told, and the exit is no crash."""
+def test_sigterm_before_it_is_ready_ends_the_program_cleanly(tmp_path: Path) -> None:
+    """The listener is open and no list has come: the client gets a response, and the exit code is 0."""
 
     async def test() -> None:
         port, path = free_port(), tmp_path / "config.json"
-        registry = await Registry().start()  # accepts, and never answers
+        registry = await Registry().start()  # accepts, and never responds
         path.write_text(
             json.dumps(config(listen=f"127.0.0.1:{port}", discovery=f"127.0.0.1:{registry.port}"))
         )
@@ -401,8 +401,8 @@
     run(test())
 
 
-def test_sighup_moves_discovery_and_counter_and_disturbs_nobody(tmp_path: Path) -> None:
-    """A bad file changes nothing; a request out at the time is answered; the list moves with its agent."""
+def test_sighup_moves_discovery_and_counter_without_disturbing_requests(tmp_path: Path) -> None:
+    """An invalid file changes nothing; an open request is answered; the list comes from the new agent."""
 
     async def test() -> None:
         host, other = await Peer().start(), await Peer(answer(body=b"other")).start()
@@ -416,14 +416,14 @@
         path.write_text(json.dumps(config(**more)))
         process = await start(path)
         assert process.stderr is not None
-        client = await up(port)
+        client = await connect_when_ready(port)
         client.send(request())
         arrived = await host.next()
         path.write_text("{")
         process.send_signal(signal.SIGHUP)
         await soon(process.stderr.readuntil(b"keeping the old configuration"))
         path.write_text(json.dumps(config(**more)))
-        process.send_signal(signal.SIGHUP)  # nothing is new in it
+        process.send_signal(signal.SIGHUP)  # without a change in the file
         more |= {"discovery": f"127.0.0.1:{moved.port}", "counter": f"127.0.0.1:{free_port()}"}
         path.write_text(json.dumps(config(**more)))
         process.send_signal(signal.SIGHUP)
@@ -446,11 +446,11 @@
     run(test())
 
 
-def test_a_reload_while_the_interpreter_starts_does_not_end_the_program(tmp_path: Path) -> None:
-    """The soak saw gateways ended by SIGHUP, code -1, within some 0.1 s of their start.
+def test_sighup_while_the_interpreter_starts_does_not_end_the_program(tmp_path: Path) -> None:
+    """SIGHUP kills a process without a handler, and the program sets its own only once modules are loaded.
 
-    SIGHUP ends a process that has not said otherwise, and the program says so only when its modules are
-    loaded. The deploy file's command has it ignored from before the interpreter is there.
+    Gateways were killed by it (code -1) within 0.1 s of their start. The command in the deploy file therefore
+    ignores SIGHUP before the interpreter starts.
     """
 
     async def test() -> None:
@@ -470,15 +470,15 @@
             while not name.read_bytes().startswith(sys.executable.encode()):
                 await asyncio.sleep(0)
         process.send_signal(signal.SIGHUP)
-        await up(port)
+        await connect_when_ready(port)
         await end(process)
         registry.stop()
 
     run(test())
 
 
-def test_a_reload_ahead_of_the_event_loop_is_made_up_for(tmp_path: Path) -> None:
-    """The file is read, then changed and announced by SIGHUP, and only then can the loop take signals."""
+def test_sighup_before_the_event_loop_runs_is_handled_later(tmp_path: Path) -> None:
+    """The file is changed, and SIGHUP sent, after it was read but before the event loop handles signals."""
 
     async def test() -> None:
         registry, moved = await Registry().start(), await Registry().start()
@@ -503,11 +503,11 @@
         signal.signal(signal.SIGHUP, before)
 
 
-def test_signals_while_the_interpreter_ends_do_not_spoil_the_end(tmp_path: Path) -> None:
-    """The soak saw a gateway that was ending in order end with code -1: SIGHUP, 0.7 s after SIGTERM.
+def test_signals_while_the_interpreter_exits_do_not_change_the_exit_code(tmp_path: Path) -> None:
+    """A gateway that was shutting down cleanly was killed by a SIGHUP 0.7 s after SIGTERM, with code -1.
 
-    The event loop gives its signals their default effects back when it closes, and the interpreter takes some
-    milliseconds more to end.
+    The event loop restores the default actions of its signals when it closes, and the interpreter takes some
+    milliseconds more to exit.
     """
 
     async def test() -> None:
@@ -517,13 +517,13 @@
             json.dumps(config(listen=f"127.0.0.1:{port}", discovery=f"127.0.0.1:{registry.port}"))
         )
         process = await start(path)
-        client = await up(port)
+        client = await connect_when_ready(port)
         process.send_signal(signal.SIGTERM)
         assert await client.at_end()
         while process.returncode is None:
             for number in (signal.SIGHUP, signal.SIGTERM):
                 process.send_signal(number)
-            await asyncio.sleep(0.001)  # those that come faster keep the process from its end
+            await asyncio.sleep(0.001)  # a faster series would keep the process from exiting
         assert process.returncode == 0
         registry.stop()
 
