--- a/coralvale/__main__.py
+++ b/coralvale/__main__.py
@@ -85,7 +85,7 @@
 def main() -> int:
     logging.basicConfig(level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s", stream=sys.stderr)
     logging.getLogger().handlers[0].addFilter(RateLimitFilter())
-    # With io_uring libuv starts a polling kernel thread, which takes all of a CPU share below one core.
+    # With io_uring libuv starts a polling kernel thread, which uses up a CPU limit of less than a core.
     os.environ.setdefault("UV_USE_IO_URING", "0")
     early = EarlyReload()
     path = os.environ.get("LB_CONFIG")
--- a/coralvale/net/discovery.py
+++ b/coralvale/net/discovery.py
@@ -62,10 +62,10 @@
 
 
 class Discovery:
-    """Follows the host list.
+    """Follows the host list of the agent, which is the discovery endpoint that this gateway calls.
 
-    `on_change(kind, hosts, retired)` gets the hosts that a message tells of, and which hosts, as they were
-    listed before, have to get rid of their idle connections.
+    `on_change(kind, hosts, retired)` gets the hosts named in a message, and those hosts, as listed before it,
+    whose idle connections are to be closed.
     """
 
     def __init__(
@@ -82,11 +82,11 @@
         """`queued_callers`: how many gateways share a discovery that serves their calls one by one from a
         queue; 0 if each call is answered at once.
 
-        `drain_grace`: s within which sending to a host must stop once its drain counts as known. What the
-        agent learns when it comes back counts as known at once, so a call that came just too early must have
-        failed and been repeated well within this time.
+        `drain_grace`: s from when a drain counts as known to when sending to the host must have ended. A
+        drain that the agent learns of on its return counts as known at once, so a call that has just failed
+        must be repeated and answered well within this time.
 
-        `max_propagation_delay`: s after which a change counts as known, from when discovery is reachable
+        `max_propagation_delay`: s after which every change counts as known, from when discovery is reachable
         again or a watch has fallen silent. However many calls have failed, the next response must come by
         then.
         """
@@ -236,7 +236,7 @@
         However often calls have failed, it leaves time to connect and get a response before changes since the
         last of them count as known.
         """
-        left = (
+        remaining = (
             self.stale_since
             + self.propagation_limit
             - LOOP_DELAY_MARGIN_S
@@ -244,7 +244,7 @@
             - self.max_response_time
             - now
         )
-        longest = max(0.0, min(self.backoff * (1 + JITTER) + self.call_spread, left))
+        longest = max(0.0, min(self.backoff * (1 + JITTER) + self.call_spread, remaining))
         return self.random.uniform(min(self.backoff * (1 - JITTER), longest), longest)
 
     async def _run_watch(self) -> bool:
@@ -261,13 +261,13 @@
         while not watch.closed.done():
             # If the network path is cut, the connection stays open and silent.
             limit = self.max_silence if watch.responded else self.response_timeout
-            left = watch.last_received_at + limit - loop.time()
-            if left <= 0:
+            remaining = watch.last_received_at + limit - loop.time()
+            if remaining <= 0:
                 log.warning("discovery: no data for %.1f s, opening a new watch", limit)
                 watch.timed_out = True
                 watch.close()
             # At most `max_silence`: the response may come, and the watch then fall silent, during this wait.
-            await asyncio.wait([watch.closed], timeout=max(min(left, self.max_silence), MIN_POLL_S))
+            await asyncio.wait([watch.closed], timeout=max(min(remaining, self.max_silence), MIN_POLL_S))
         useful = watch.received and not watch.malformed
         if watch.responded:  # until its loss, a useful watch delivered all changes
             self.stale_since = loop.time() if useful and not watch.timed_out else watch.last_received_at
--- a/coralvale/net/node.py
+++ b/coralvale/net/node.py
@@ -28,22 +28,23 @@
 
 log = logging.getLogger(__name__)
 
-READY_TIMEOUT_S = 0.25  # after start, when the gateway is ready even if discovery has not responded
-FIRST_MESSAGE_WAIT_S = 0.01  # after discovery's response head; no message follows if nothing has changed
+READY_TIMEOUT_S = 0.25  # after start; then the configured host list is used, even without a response
+FIRST_MESSAGE_WAIT_S = 0.01  # after discovery's response head; no message comes if nothing has changed
 RESPONSE_MARGIN_S = 0.05  # before the client's timeout, reserved for writing the response
-MAX_PROPAGATION_DELAY_S = 6.0  # of a change at discovery, while it is reachable, whatever calls have failed
+MAX_PROPAGATION_DELAY_S = 6.0  # after which a change counts as known, see `Discovery`
 ACCEPT_AFTER_SIGTERM_S = 0.45  # new connections keep arriving for 0.2 to 0.4 s after SIGTERM
 RECONNECT_GRACE_S = 0.25  # for clients that sent a request while their idle connection was being closed
-MAX_TIMEOUT_BEFORE_KILL_S = 3.0  # upper bound on the class timeout that the supervisor waits for
-KILL_DELAY_S = 0.7  # from the end of that timeout, counted from SIGTERM, to the earliest SIGKILL
-KILL_MARGIN_S = 0.35  # reserved before the earliest SIGKILL, as the event loop may be late
+# From SIGTERM to the earliest SIGKILL: the longest class timeout, up to this maximum, plus the delay.
+MAX_TIMEOUT_BEFORE_KILL_S = 3.0
+KILL_DELAY_S = 0.7
+KILL_MARGIN_S = 0.35  # left unused before the earliest SIGKILL, as the event loop may be late
 FLUSH_S = 0.1  # for the last responses to be sent
-DRAIN_POLL_S = 0.05
+DRAIN_POLL_S = 0.05  # between checks whether the drain is complete
 MAX_EXTRA_POLLS = 4  # after FLUSH_S while responses are owed; both together stay within KILL_MARGIN_S
 TIMER_RESOLUTION_S = 0.001  # of the event loop
 DEFAULT_TIMER_DELAY_S = 1.0  # for setting a timer again whose delay is not known
 RESERVED_DESCRIPTORS = 64  # for the listener, discovery, the counter, log files and the event loop
-NOT_RUN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
+NOT_RUN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)  # the host has not run the request
 
 
 def descriptor_limit(configured: int) -> int:
@@ -98,7 +99,7 @@
         self.timer_delays: dict[int, float] = {}
         sockets = descriptor_limit(config.sockets)
         share = (sockets - min(RESERVED_DESCRIPTORS, sockets // 4)) // 2  # for clients and for hosts each
-        surplus = share // 8
+        surplus = share // 8  # client connections that only get a 503
         self.server = Server(config.listen, config.settings, self, share - surplus, surplus)
         self.upstreams = Upstreams(
             self.clock, config.connect_timeout, config.conn_idle, share, config.settings.load_report_fields
@@ -277,7 +278,7 @@
             self._remove_if_done(pending)
 
     def _expire(self, pending: PendingRequest) -> None:
-        """The request's time is up: ends its attempts as timed out, and answers it if that has not."""
+        """Ends the attempts of an expired request as timed out; answers it if nothing else has."""
         # A drain may end before `expires_at`; nothing may be sent after it.
         pending.expires_at = min(pending.expires_at, self.clock.now())
         for attempt in list(pending.attempts):
