--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -37,6 +37,8 @@
 
 @dataclass
 class Bench:
+    """A discovery that runs against a fake registry, and the changes that it has reported."""
+
     registry: Registry
     discovery: Discovery
     changes: asyncio.Queue[Change] = field(default_factory=asyncio.Queue)
@@ -157,7 +159,7 @@
             (await b.registry.next()).reply(answer(503, b""))
             watch = await b.registry.watch()
             watch.reply(chunk(line(44, {"name": "s-9"}, entry("s-5", 5))))
-            assert [s.id for s in (await b.next_change())[1]] == ["s-5"]
+            assert [host.id for host in (await b.next_change())[1]] == ["s-5"]
 
     run(test())
 
@@ -272,7 +274,7 @@
         received = loop.create_future()
 
         def on_change(kind: api.ListKind, hosts: tuple[api.HostInfo, ...], retired: list[Place]) -> None:
-            if any(s.state is api.HostState.DRAINING for s in hosts) and not received.done():
+            if any(host.state is api.HostState.DRAINING for host in hosts) and not received.done():
                 received.set_result(loop.time())
 
         limits = {
@@ -283,14 +285,14 @@
         discovery = Discovery(agent.address, (), (), on_change, **limits)
         discovery.random = LongestDelay()
         discovery.apply({"index": 41, "endpoints": [entry("s-1", 1)]}, cached=True)
-        following = asyncio.create_task(discovery.run())
+        task = asyncio.create_task(discovery.run())
         # If the watch falls silent or is reset, the change comes right after; else calls fail for a while.
         await asyncio.sleep(
             phase if failure not in ("falls silent", "resets") else discovery.call_spread + phase
         )
         await agent.come_back()
         took = await received - agent.back_at
-        following.cancel()
+        task.cancel()
         agent.stop()
         return took
 
@@ -308,7 +310,7 @@
 def test_a_watch_that_falls_silent_right_after_its_response_is_noticed_in_time(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The time that a queued call may wait for its response does not count."""
+    """The longer wait for the response to a queued call must not delay the detection."""
 
     async def test() -> None:
         async with bench(max_silence=0.2, queued_callers=1) as b:
@@ -330,7 +332,7 @@
             await b.next_change()
             watch = await b.registry.watch()
             watch.reply(chunk(line(42, {**entry("s-3", 3), "address": address}, entry("s-4", 4))))
-            assert [s.id for s in (await b.next_change())[1]] == ["s-4"]
+            assert [host.id for host in (await b.next_change())[1]] == ["s-4"]
 
     run(test())
 
@@ -359,7 +361,7 @@
             await until(lambda: b.registry.closed == 1)
             watch.reply(chunk(line(3, entry("s-4", 4), snapshot=True)))
             kind, hosts, _ = await b.next_change()
-            assert kind is api.ListKind.FULL and [s.id for s in hosts] == ["s-4"]
+            assert kind is api.ListKind.FULL and [host.id for host in hosts] == ["s-4"]
             other.stop()
 
     run(test())
@@ -402,7 +404,11 @@
             watch = await b.registry.watch()
             watch.reply(chunk(bad + line(42, entry("s-3", 3))))
             _, hosts, _ = await b.next_change()
-            assert [s.id for s in hosts] == ["s-3"] and set(b.discovery.endpoints) == {"s-1", "s-2", "s-3"}
+            assert [host.id for host in hosts] == ["s-3"] and set(b.discovery.endpoints) == {
+                "s-1",
+                "s-2",
+                "s-3",
+            }
             again = await b.registry.watch()
             assert again.message.first == b"GET /discovery/hosts?stream=1 HTTP/1.1"
 
@@ -429,9 +435,9 @@
             for at in range(0, len(data), piece):
                 watch.reply(chunk(data[at : at + piece]))
             kind, hosts, _ = await b.next_change()
-            assert kind is api.ListKind.FULL and [s.id for s in hosts] == ["s-3", "s-4"]
+            assert kind is api.ListKind.FULL and [host.id for host in hosts] == ["s-3", "s-4"]
             kind, hosts, _ = await b.next_change()
-            assert kind is api.ListKind.CHANGES and [s.id for s in hosts] == ["s-5"]
+            assert kind is api.ListKind.CHANGES and [host.id for host in hosts] == ["s-5"]
             assert b.discovery.index == 43 and b.registry.connections == 1
 
     run(test())
@@ -457,7 +463,7 @@
             watch = await b.registry.watch()
             half = json.dumps({"index": 42, "endpoints": [entry("s-7", 7)]}, indent=2)[:60].encode()
             watch.reply(chunk(half + b"\n") + chunk(line(43, entry("s-8", 8))))
-            assert [s.id for s in (await b.next_change())[1]] == ["s-8"]
+            assert [host.id for host in (await b.next_change())[1]] == ["s-8"]
 
     run(test())
 
@@ -512,7 +518,7 @@
             watch.reply(chunk(json.dumps({**message, "endpoints": entries}).encode() + b"\n"))
             kind, hosts, _ = await b.next_change()
             assert kind is api.ListKind.FULL
-            assert [s.id for s in hosts] == ["s-1", "s-4"]  # s-1 stays as it was
+            assert [host.id for host in hosts] == ["s-1", "s-4"]  # s-1 stays as it was
             assert set(b.discovery.endpoints) == {"s-1", "s-4"} and b.discovery.index is None
 
     run(test())
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -271,9 +271,7 @@
         async with world(entry("s-1", host.port)) as w:
             client = await w.client()
             w.script.on(api.Request, fail)
-            assert (
-                await client.ask(request("r1", "write"))
-            ).status == 503  # nothing was sent, so trying again does no harm
+            assert (await client.ask(request("r1", "write"))).status == 503  # not sent: a retry is safe
             send_all(w, "s-1")
             w.script.on(api.AttemptDone, fail)
             client.send(request("r2", "write"))
@@ -370,7 +368,7 @@
             late = await w.client()
             late.send(request("r2"))
             second = await host.next()
-            kill = w.node.clock.now() + 3 + 0.7  # no sooner, by PROTOCOL
+            kill = w.node.clock.now() + 3 + 0.7  # the earliest SIGKILL
             assert w.script.of(api.Request)[1].expires_at < kill - 0.25
             assert await idle.at_end()
             assert not w.node.stopped.done()
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -251,9 +251,8 @@
         for client in idle:
             client.send(b"GET /up HTTP/1.1\r\n\r\n")
         assert (await idle[0].receive()).status == 200
-        async with asyncio.timeout(
-            MAX_PROPAGATION_DELAY_S
-        ):  # the idle clients stay, and take each descriptor that is freed
+        # The idle clients stay, and take each descriptor that is freed.
+        async with asyncio.timeout(MAX_PROPAGATION_DELAY_S):
             await registry.start(agent)
             watch = await registry.watch()
             watch.reply(chunk(line(2, entry("s-1", host.port))))
