--- a/coralvale/net/node.py
+++ b/coralvale/net/node.py
@@ -20,8 +20,8 @@
 from coralvale import interface as api
 from coralvale.interface import Outcome
 from coralvale.net.clock import Clock
-from coralvale.net.config import Address, Config, Place
-from coralvale.net.counter import Counter
+from coralvale.net.config import Address, Config, HostInstance
+from coralvale.net.counter import CounterClient
 from coralvale.net.discovery import Discovery, Endpoint
 from coralvale.net.server import NOT_PASSED_ON, Arrival, Exchange, Server
 from coralvale.net.upstream import Answer, Attempt, Upstreams
@@ -107,7 +107,7 @@
         self.discovery = Discovery(
             config.discovery,
             config.zones,
-            config.kinds,
+            config.machine_types,
             self._on_list_change,
             queued_callers=config.settings.gateways if config.settings.list_on_request else 0,
             drain_grace=config.settings.drain_grace,
@@ -128,7 +128,7 @@
         }
 
     def start(self) -> None:
-        self.discovery.apply(self.config.known, cached=True)
+        self.discovery.apply(self.config.known_hosts, cached=True)
         self.discovery_task = self.loop.create_task(self.discovery.run())
         self.server.start()
         self.discovery.on_response = self._on_discovery_response
@@ -152,13 +152,15 @@
             return
         log.info("counter address is now %s", config.counter)
         if self.counter:
-            self.counter.retire()
+            self.counter.drain()
         self.counter = self._make_counter(config.counter)
 
-    def _make_counter(self, address: Address | None) -> Counter | None:
+    def _make_counter(self, address: Address | None) -> CounterClient | None:
         if address is None:
             return None
-        return Counter(address, self.settings.counter_timeout, self.config.connect_timeout, self.dispatch)
+        return CounterClient(
+            address, self.settings.counter_timeout, self.config.connect_timeout, self.dispatch
+        )
 
     def close(self) -> None:
         """Closes all sockets at once."""
@@ -419,7 +421,7 @@
     # Host list
 
     def _on_list_change(
-        self, kind: api.ListKind, hosts: tuple[api.HostInfo, ...], retired: list[Place]
+        self, kind: api.ListKind, hosts: tuple[api.HostInfo, ...], retired: list[HostInstance]
     ) -> None:
         for place in retired:
             self.upstreams.retire(place)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -22,17 +22,17 @@
     entry,
     line,
     run,
-    run_jumping,
-    soon,
+    run_in_fake_time,
     until,
+    with_timeout,
 )
 
 from coralvale import interface as api
-from coralvale.net.config import Place
+from coralvale.net.config import HostInstance
 from coralvale.net.discovery import MAX_QUEUE_WAIT_S, Discovery
 from coralvale.net.node import MAX_PROPAGATION_DELAY_S
 
-Change = tuple[api.ListKind, tuple[api.HostInfo, ...], list[Place]]
+Change = tuple[api.ListKind, tuple[api.HostInfo, ...], list[HostInstance]]
 
 
 @dataclass
@@ -44,7 +44,7 @@
     changes: asyncio.Queue[Change] = field(default_factory=asyncio.Queue)
 
     async def next_change(self) -> Change:
-        return await soon(self.changes.get())
+        return await with_timeout(self.changes.get())
 
 
 @contextlib.asynccontextmanager
@@ -273,7 +273,9 @@
         await agent.start()
         received = loop.create_future()
 
-        def on_change(kind: api.ListKind, hosts: tuple[api.HostInfo, ...], retired: list[Place]) -> None:
+        def on_change(
+            kind: api.ListKind, hosts: tuple[api.HostInfo, ...], retired: list[HostInstance]
+        ) -> None:
             if any(host.state is api.HostState.DRAINING for host in hosts) and not received.done():
                 received.set_result(loop.time())
 
@@ -303,7 +305,7 @@
             nonlocal worst
             worst = max(worst, await test(9.0 + step * 0.37))
 
-        run_jumping(phased())
+        run_in_fake_time(phased())
     assert response_time <= worst < MAX_PROPAGATION_DELAY_S
 
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -16,10 +16,10 @@
 import pytest
 from net_helpers import (
     SETTINGS,
+    ManualClock,
     Peer,
     Registry,
-    StillClock,
-    World,
+    RunningGateway,
     answer,
     chunk,
     entry,
@@ -27,10 +27,10 @@
     line,
     request,
     run,
-    run_jumping,
-    soon,
+    run_in_fake_time,
+    running_gateway,
     until,
-    world,
+    with_timeout,
 )
 
 from coralvale import interface as api
@@ -41,7 +41,7 @@
 from coralvale.net.upstream import REST, Attempt
 
 
-def send_all(w: World, *hosts: str, timeout: float = 60.0) -> None:
+def send_all(w: RunningGateway, *hosts: str, timeout: float = 60.0) -> None:
     """Has the module send the attempts of a request to `hosts` in turn; after the last the request fails."""
     remaining = list(hosts)
 
@@ -60,7 +60,7 @@
 def test_a_request_and_its_response_are_passed_on_unchanged(cls: str, method: bytes) -> None:
     async def test() -> None:
         host = await Peer().start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             send_all(w, "s-1")
             client = await w.client()
             body = os.urandom(60_000) if cls == "write" else b""
@@ -75,7 +75,7 @@
             message = await client.receive()
             assert message.status == 200 and message.body == reply
             assert message.headers[b"content-type"] == b"a/b" and b"usage-percent" not in message.headers
-            done = await w.done()
+            done = await w.attempt_done()
             assert (done.attempt, done.outcome, done.request_done, done.usage) == (0, Outcome.OK, True, 0.85)
             assert not w.node.pending
         host.stop()
@@ -86,16 +86,16 @@
 def test_the_decision_module_decides_on_each_further_attempt() -> None:
     async def test() -> None:
         host = await Peer().start()
-        async with world(entry("s-1", host.port), entry("s-2", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port), entry("s-2", host.port)) as w:
             send_all(w, "s-1", "s-2", "unknown")
             client = await w.client()
             client.send(request())
             (await host.next()).reply(answer(503, X_Not_Processed="1"))
             (await host.next()).reset()
             assert (await client.receive()).status == 502
-            done = await w.done(3)
-            assert [d.attempt for d in w.script.of(api.AttemptDone)] == [0, 1, 2]
-            outcomes = [d.outcome for d in w.script.of(api.AttemptDone)]
+            done = await w.attempt_done(3)
+            assert [d.attempt for d in w.script.received(api.AttemptDone)] == [0, 1, 2]
+            outcomes = [d.outcome for d in w.script.received(api.AttemptDone)]
             assert outcomes == [Outcome.FULL, Outcome.RESET, Outcome.NOT_SENT]
             assert not done.request_done and not w.node.pending
         host.stop()
@@ -106,13 +106,13 @@
 def test_an_attempt_ends_at_its_deadline_and_the_request_at_the_clients_timeout() -> None:
     async def test() -> None:
         host = await Peer().start()
-        async with world(entry("s-1", host.port), entry("s-2", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port), entry("s-2", host.port)) as w:
             send_all(w, "s-1", "s-2", timeout=0.05)
             assert (await w.ask(request())).status == 504
-            assert [d.outcome for d in w.script.of(api.AttemptDone)] == [Outcome.TIMEOUT] * 2
+            assert [d.outcome for d in w.script.received(api.AttemptDone)] == [Outcome.TIMEOUT] * 2
             send_all(w, "s-1")
             assert (await w.ask(request("r2", X_Timeout="0.1"))).status == 504
-            assert (await w.done(3)).outcome is Outcome.TIMEOUT
+            assert (await w.attempt_done(3)).outcome is Outcome.TIMEOUT
             await until(lambda: not w.node.pending)
         host.stop()
 
@@ -121,9 +121,11 @@
 
 def test_a_request_without_a_decision_is_answered() -> None:
     async def test() -> None:
-        async with world() as w:
+        async with running_gateway() as w:
             message = await w.ask(request(X_Timeout="0.1"))
-            assert message.status == 503 and w.script.of(api.RequestAbandoned) == [api.RequestAbandoned("r1")]
+            assert message.status == 503 and w.script.received(api.RequestAbandoned) == [
+                api.RequestAbandoned("r1")
+            ]
             w.script.on(api.Request, lambda e: [api.Refuse(e.id, 0.1), api.Fail(e.id), api.Refuse(e.id)])
             client = await w.client()
             assert (await client.ask(request("r2"))).headers[b"retry-after"] == b"0.100"
@@ -135,16 +137,16 @@
 def test_an_attempt_has_one_outcome_even_if_the_client_has_left() -> None:
     async def test() -> None:
         host = await Peer().start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             send_all(w, "s-1")
             client = await w.client()
             client.send(request())
             arrived = await host.next()
             client.close()
-            await until(lambda: w.script.of(api.RequestAbandoned))
-            assert w.node.pending and not w.script.of(api.AttemptDone)
+            await until(lambda: w.script.received(api.RequestAbandoned))
+            assert w.node.pending and not w.script.received(api.AttemptDone)
             arrived.reply(answer())
-            done = await w.done()
+            done = await w.attempt_done()
             assert done.outcome is Outcome.OK and done.request_done and not w.node.pending
         host.stop()
 
@@ -154,7 +156,7 @@
 def test_a_cancelled_attempt_is_closed_and_reported_once() -> None:
     async def test() -> None:
         host = await Peer().start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             send_all(w, "s-1")
             client = await w.client()
             client.send(request())
@@ -162,7 +164,7 @@
             for _ in range(2):
                 w.node.action_handlers[api.Cancel](api.Cancel("r1", 0))
             assert (await client.receive()).status == 502
-            assert [d.outcome for d in w.script.of(api.AttemptDone)] == [Outcome.CANCELLED]
+            assert [d.outcome for d in w.script.received(api.AttemptDone)] == [Outcome.CANCELLED]
             await until(lambda: host.closed == 1)
         host.stop()
 
@@ -174,17 +176,17 @@
     async def test() -> None:
         host = await Peer(answer()).start()
         known = entry("s-1", host.port)
-        async with world(known) as w:
+        async with running_gateway(known) as w:
             send_all(w, "s-1")
             watch = await w.registry.watch()
             started, go = hold_connects(w.node.upstreams)
             client = await w.client()
             client.send(request())
-            await soon(started.wait())
-            seen = len(w.script.of(api.HostList))
+            await with_timeout(started.wait())
+            seen = len(w.script.received(api.HostList))
             if change == "client":
                 client.close()
-                await until(lambda: w.script.of(api.RequestAbandoned))
+                await until(lambda: w.script.received(api.RequestAbandoned))
             elif change != "none":
                 more = {
                     "left": {"status": "left"},
@@ -193,9 +195,9 @@
                     "moved": {"address": "127.0.0.1:1"},
                 }[change]
                 watch.reply(chunk(line(42, {**known, **more})))
-                await until(lambda: len(w.script.of(api.HostList)) > seen)
+                await until(lambda: len(w.script.received(api.HostList)) > seen)
             go.set()
-            done = await w.done()
+            done = await w.attempt_done()
             if change == "none":
                 assert done.outcome is Outcome.OK and host.arrived.qsize() == 1
             else:
@@ -211,7 +213,7 @@
 
     async def test() -> None:
         host, first = await Peer(answer()).start(), await Peer().start()
-        async with world(entry("s-1", host.port), entry("s-2", first.port)) as w:
+        async with running_gateway(entry("s-1", host.port), entry("s-2", first.port)) as w:
             send_all(w, "s-1", *["s-2"] * (attempt == "further"), "s-1")
             await w.ask(request("warm"))
             pool = next(iter(w.node.upstreams.pools.values()))
@@ -222,8 +224,8 @@
                     arrived = await first.next()
                     descriptor = arrived.writer.get_extra_info("socket").fileno()
                     os.write(descriptor, answer(503, X_Not_Processed="1"))
-            await until(lambda: w.script.of(api.RequestAbandoned) and not w.node.pending)
-            assert w.script.of(api.AttemptDone)[-1].outcome is Outcome.NOT_SENT
+            await until(lambda: w.script.received(api.RequestAbandoned) and not w.node.pending)
+            assert w.script.received(api.AttemptDone)[-1].outcome is Outcome.NOT_SENT
             assert host.arrived.qsize() == 1  # only the first one
         host.stop()
         first.stop()
@@ -237,7 +239,7 @@
 
     async def test() -> None:
         host = await Peer(answer()).start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             _, go = hold_connects(w.node.upstreams)
             if waits == "for a connection":
                 w.script.on(api.Request, lambda e: [api.Send(e.id, "s-1", 0.0)])
@@ -248,10 +250,12 @@
                 client.sendall(request("unread"))
             if waits == "for a connection":
                 go.set()
-                await w.done(PIPELINED)
-                assert {e.outcome for e in w.script.of(api.AttemptDone)} == {Outcome.NOT_SENT}
+                await w.attempt_done(PIPELINED)
+                assert {e.outcome for e in w.script.received(api.AttemptDone)} == {Outcome.NOT_SENT}
                 assert host.arrived.empty()
-            await until(lambda: len(w.script.of(api.RequestAbandoned)) == PIPELINED and not w.node.pending)
+            await until(
+                lambda: len(w.script.received(api.RequestAbandoned)) == PIPELINED and not w.node.pending
+            )
         host.stop()
 
     run(test())
@@ -268,7 +272,7 @@
 
     async def test() -> None:
         host = await Peer().start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             client = await w.client()
             w.script.on(api.Request, fail)
             assert (await client.ask(request("r1", "write"))).status == 503  # not sent: a retry is safe
@@ -285,7 +289,7 @@
             assert not w.node.pending
             w.script.on(api.TimerFired, fail)
             w.node.action_handlers[api.SetTimer](api.SetTimer(0, 0.01))
-            await until(lambda: len(w.script.of(api.TimerFired)) >= 3)
+            await until(lambda: len(w.script.received(api.TimerFired)) >= 3)
         host.stop()
 
     run(test())
@@ -295,7 +299,7 @@
 def test_a_finished_request_leaves_no_objects_to_the_garbage_collector() -> None:
     async def test() -> None:
         host = await Peer(answer()).start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             send_all(w, *["s-1"] * 20)
             client = await w.client()
             assert (await client.ask(request("r0"))).status == 200
@@ -304,7 +308,7 @@
             try:
                 for i in range(1, 20):
                     assert (await client.ask(request(f"r{i}"))).status == 200
-                await w.done(20)
+                await w.attempt_done(20)
                 left = [o for o in gc.get_objects() if isinstance(o, PendingRequest | Attempt | Exchange)]
             finally:
                 gc.enable()
@@ -317,18 +321,18 @@
 def test_probes_and_counter_calls_are_answered() -> None:
     async def test() -> None:
         host = await Peer(answer()).start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             w.script.on(
                 api.Request, lambda e: [api.Probe("s-1"), api.Probe("none"), api.CounterAdd(5, 2.0, 1.0)]
             )
             (await w.client()).send(request())
             assert (await host.next()).message.first == b"GET /alive HTTP/1.1"
-            await until(lambda: len(w.script.of(api.ProbeDone)) == 2)
-            assert {p.outcome for p in w.script.of(api.ProbeDone)} == {Outcome.OK, Outcome.NOT_SENT}
+            await until(lambda: len(w.script.received(api.ProbeDone)) == 2)
+            assert {p.outcome for p in w.script.received(api.ProbeDone)} == {Outcome.OK, Outcome.NOT_SENT}
             call = await w.counter.next()
             assert call.message.first == b"POST /tally/5?n=2.000000&keep_ms=1000 HTTP/1.1"
             call.reply(answer(body=b"7"))
-            await until(lambda: w.script.of(api.CounterReply) == [api.CounterReply(5, True, 7.0)])
+            await until(lambda: w.script.received(api.CounterReply) == [api.CounterReply(5, True, 7.0)])
         host.stop()
 
     run(test())
@@ -337,7 +341,9 @@
 def test_the_real_decision_module_serves_over_sockets() -> None:
     async def test() -> None:
         hosts = [await Peer(answer(body=b"served")).start() for _ in range(3)]
-        async with world(*(entry(f"s-{i}", h.port) for i, h in enumerate(hosts)), real=True) as w:
+        async with running_gateway(
+            *(entry(f"s-{i}", h.port) for i, h in enumerate(hosts)), real_module=True
+        ) as w:
             client = await w.client()
             for i in range(50):
                 assert (await client.ask(request(f"r{i}", "write", body=b"x"))).body == b"served"
@@ -357,7 +363,7 @@
 def test_after_sigterm_all_requests_are_answered() -> None:
     async def test() -> None:
         host = await Peer().start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             send_all(w, "s-1", "s-1", "s-1")
             idle, busy = await w.client(), await w.client()
             busy.send(request("r1"))
@@ -369,15 +375,15 @@
             late.send(request("r2"))
             second = await host.next()
             kill = w.node.clock.now() + 3 + 0.7  # the earliest SIGKILL
-            assert w.script.of(api.Request)[1].expires_at < kill - 0.25
-            assert await idle.at_end()
+            assert w.script.received(api.Request)[1].expires_at < kill - 0.25
+            assert await idle.closed_by_gateway()
             assert not w.node.stopped.done()
             for client, arrived in ((busy, first), (late, second)):
                 arrived.reply(answer(body=b"done"))
                 message = await client.receive()
                 assert message.body == b"done" and message.headers[b"connection"] == b"close"
-                assert await client.at_end()
-            await soon(w.node.stopped)
+                assert await client.closed_by_gateway()
+            await with_timeout(w.node.stopped)
         host.stop()
 
     run(test())
@@ -388,7 +394,7 @@
 
     async def test() -> None:
         host = await Peer().start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             send_all(w, "s-1", "s-1", "s-1")
             client = await w.client()
             third = request("r3")
@@ -406,8 +412,8 @@
             (await host.next()).reply(answer(body=b"r3"))
             message = await client.receive()
             assert message.body == b"r3" and message.headers[b"connection"] == b"close"
-            assert await client.at_end()
-            await soon(w.node.stopped)
+            assert await client.closed_by_gateway()
+            await with_timeout(w.node.stopped)
         host.stop()
 
     run(test())
@@ -418,7 +424,7 @@
 
     async def test() -> None:
         host = await Peer().start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             send_all(w, "s-1", "s-1")
             client = await w.client()
             client.send(request("r1") + request("r2", Plan="unknown") + request("r3"))
@@ -426,17 +432,17 @@
             first, third = sorted(two, key=lambda arrived: arrived.message.headers[b"x-request-id"])
             first.reply(answer(body=b"done"))
             assert (await client.receive()).body == b"done" and (await client.receive()).status == 400
-            assert await client.at_end()
-            assert [e.request for e in w.script.of(api.RequestAbandoned)] == ["r3"]
+            assert await client.closed_by_gateway()
+            assert [e.request for e in w.script.received(api.RequestAbandoned)] == ["r3"]
             third.reply(answer(body=b"late"))
-            done = await w.done(2)
+            done = await w.attempt_done(2)
             assert done.request == "r3" and not w.node.pending
         host.stop()
 
     run(test())
 
 
-def stop_step_by_step(w: World) -> list[tuple[float, Any]]:
+def stop_step_by_step(w: RunningGateway) -> list[tuple[float, Any]]:
     """Starts a drain without its timers: returns when each step is due (s), and the step."""
     steps: list[tuple[float, Any]] = []
     loop = w.node.loop
@@ -446,7 +452,7 @@
     return sorted(steps, key=lambda step: step[0])
 
 
-def with_timeout(seconds: float) -> list[dict[str, Any]]:
+def classes_with_timeout(seconds: float) -> list[dict[str, Any]]:
     return [{**c, "aim_s": seconds, "give_up_s": seconds} for c in SETTINGS["classes"]]
 
 
@@ -457,7 +463,7 @@
 
     async def test() -> None:
         host = await Peer(answer(body=b"done")).start()
-        async with world(entry("s-1", host.port), classes=with_timeout(0.2)) as w:
+        async with running_gateway(entry("s-1", host.port), classes=classes_with_timeout(0.2)) as w:
             send_all(w, "s-1")
             for due, step in stop_step_by_step(w):
                 if due <= 0.4:
@@ -466,7 +472,7 @@
         host.stop()
 
     monkeypatch.setattr(Clock, "now", lambda _: 1000.0)  # a late loop must not use up the short timeout
-    run_jumping(test())
+    run_in_fake_time(test())
 
 
 def test_a_new_connection_has_time_for_its_first_request_in_a_drain(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -474,7 +480,7 @@
 
     async def test() -> None:
         host = await Peer(answer(body=b"done")).start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             send_all(w, "s-1")
             idle = await w.client()
             assert (await idle.ask(b"GET /up HTTP/1.1\r\n\r\n")).status == 503
@@ -484,11 +490,11 @@
             for due, step in stop_step_by_step(w):
                 if due <= 0.5:
                     step()
-            assert await idle.at_end()
+            assert await idle.closed_by_gateway()
             assert (await client.ask(request())).body == b"done"
         host.stop()
 
-    clock = StillClock()
+    clock = ManualClock()
     monkeypatch.setattr("coralvale.net.server.time", clock)
     run(test())
 
@@ -498,7 +504,7 @@
 
     async def test() -> None:
         hung, other = await Peer().start(), await Peer(answer(body=b"done")).start()
-        async with world(entry("s-1", hung.port), entry("s-2", other.port)) as w:
+        async with running_gateway(entry("s-1", hung.port), entry("s-2", other.port)) as w:
             send_all(w, "s-2", "s-1", "s-2")
             assert (await w.ask(request("r1"))).body == b"done"
             (kept,) = w.node.upstreams.connections  # idle long enough for an attempt to be sent on it at once
@@ -508,7 +514,7 @@
             await hung.next()
             steps = stop_step_by_step(w)
             next(step for _, step in steps if step == w.node._end_drain)()
-            assert [e.outcome for e in w.script.of(api.AttemptDone)][1:] == [
+            assert [e.outcome for e in w.script.received(api.AttemptDone)][1:] == [
                 Outcome.TIMEOUT,
                 Outcome.NOT_SENT,
             ]
@@ -523,7 +529,7 @@
 def test_a_request_is_answered_once_at_whatever_stage_sigterm_comes(waits: str) -> None:
     async def test() -> None:
         host = await Peer().start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             started, go = hold_connects(w.node.upstreams)
             w.script.on(api.Request, lambda e: [api.CounterAdd(7, 1.0, 4.0)])
             w.script.on(api.CounterReply, lambda e: [api.Send("r1", "s-1", 0.0)])
@@ -533,7 +539,7 @@
             if waits == "for the counter":
                 w.node.stop()
             call.reply(answer(body=b"1"))
-            await soon(started.wait())
+            await with_timeout(started.wait())
             if waits == "for a connection":
                 w.node.stop()
             go.set()
@@ -543,8 +549,8 @@
             arrived.reply(answer(body=b"done"))
             message = await client.receive()
             assert message.body == b"done" and message.headers[b"connection"] == b"close"
-            assert await client.at_end()
-            await soon(w.node.stopped)
+            assert await client.closed_by_gateway()
+            await with_timeout(w.node.stopped)
         host.stop()
 
     run(test())
@@ -555,7 +561,7 @@
 
     async def test() -> None:
         host = await Peer().start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             w.script.on(api.Request, lambda e: [api.Send(e.id, "s-1", 0.0)])
             client, body = await w.client(), os.urandom(64 * 1024)
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
@@ -563,17 +569,17 @@
             waiting = [await host.next() for _ in range(PIPELINED)]
             for arrived in waiting[1:]:
                 arrived.reply(answer(body=body))
-            await until(lambda: len(w.script.of(api.AttemptDone)) == PIPELINED - 1)
+            await until(lambda: len(w.script.received(api.AttemptDone)) == PIPELINED - 1)
             w.node.stop()
             waiting[0].reply(answer(body=body))
-            await w.done(PIPELINED)
+            await w.attempt_done(PIPELINED)
             assert not w.node.stopped.done()
             client.writer.transport.resume_reading()  # type: ignore[attr-defined]
             answers = [await client.receive() for _ in range(PIPELINED)]
             assert all(message.body == body for message in answers)
             assert b"connection" not in answers[0].headers and answers[-1].headers[b"connection"] == b"close"
-            assert await client.at_end()
-            await soon(w.node.stopped)
+            assert await client.closed_by_gateway()
+            await with_timeout(w.node.stopped)
         host.stop()
 
     run(test())
@@ -583,7 +589,7 @@
     async def test() -> None:
         host, registry, counter = await Peer().start(), Registry(), await Peer().start()
         await registry.start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             send_all(w, "s-1")
             client = await w.client()
             client.send(request("r1"))
@@ -594,14 +600,14 @@
             arrived.reply(answer(body=b"done"))
             message = await client.receive()
             assert message.body == b"done" and message.headers[b"connection"] == b"close"
-            await soon(w.node.stopped)
+            await with_timeout(w.node.stopped)
         for peer in (host, registry, counter):
             peer.stop()
 
     run(test())
 
 
-def connect_unaccepted(w: World, count: int) -> list[socket.socket]:
+def connect_unaccepted(w: RunningGateway, count: int) -> list[socket.socket]:
     """Opens connections that only the kernel has accepted, as the event loop does not run in between."""
     address = ("127.0.0.1", w.node.server.port)
     return [socket.create_connection(address) for _ in range(count)]
@@ -617,7 +623,7 @@
     connection.setblocking(False)
     reader, writer = await asyncio.open_connection(sock=connection)
     try:
-        return bytes(await soon(reader.read()))
+        return bytes(await with_timeout(reader.read()))
     except ConnectionError:
         return b""
     finally:
@@ -628,7 +634,7 @@
     return await asyncio.gather(*map(read_to_end, connections))
 
 
-def run_drain_steps(w: World, *names: str) -> None:
+def run_drain_steps(w: RunningGateway, *names: str) -> None:
     """Starts a drain and runs overdue steps of it in a row, with nothing read from sockets in between."""
     steps = {step.__name__: step for _, step in stop_step_by_step(w)}
     for name in names:
@@ -643,7 +649,7 @@
 
     async def test() -> None:
         host = await Peer(answer(body=b"done")).start()
-        async with world(entry("s-1", host.port), sockets=1024) as w:
+        async with running_gateway(entry("s-1", host.port), sockets=1024) as w:
             w.script.on(api.Request, lambda e: [api.Send(e.id, "s-1", 0.0)])
             waiting = connect_unaccepted(w, 100)
             if writes == "before the listener is closed":
@@ -665,7 +671,7 @@
 
     async def test() -> None:
         host = await Peer(answer(body=b"done")).start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             w.script.on(api.Request, lambda e: [api.Send(e.id, "s-1", 0.0)])
             waiting = connect_unaccepted(w, 9)
             send_numbered(waiting)
@@ -683,7 +689,7 @@
 
     async def test() -> None:
         host = await Peer().start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             w.script.on(api.Request, lambda e: [api.Send(e.id, "s-1", 0.0)])
             w.node.server.most, w.node.server.surplus = 1, 0
             busy = await w.client()
@@ -706,7 +712,7 @@
     """The last steps of a drain are overdue together, and run before requests in the kernel are read."""
 
     async def test() -> None:
-        async with world() as w:
+        async with running_gateway() as w:
 
             async def end_when_stopped() -> None:
                 """As in the program, where closing the event loop cancels the tasks that still run."""
@@ -724,7 +730,7 @@
             time.sleep(2 * FLUSH_S)  # noqa: ASYNC251 - blocks the loop to make it late
             answers = await read_all_to_end(connections)
             assert [each[:12] for each in answers] == [b"HTTP/1.1 503"] * 4
-            await soon(ending)
+            await with_timeout(ending)
 
     monkeypatch.setattr("coralvale.net.node.MAX_TIMEOUT_BEFORE_KILL_S", 0.0)
     monkeypatch.setattr("coralvale.net.node.KILL_DELAY_S", KILL_MARGIN_S)  # the drain ends at once
@@ -736,14 +742,14 @@
 ) -> None:
     async def test() -> None:
         host = await Peer().start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             send_all(w, "s-1")
             client = await w.client()
             client.send(request())
             await host.next()
             w.node.stop()
             assert (await client.receive()).status == 504
-            await soon(w.node.stopped)
+            await with_timeout(w.node.stopped)
         host.stop()
 
     monkeypatch.setattr("coralvale.net.node.MAX_TIMEOUT_BEFORE_KILL_S", 0.5)
@@ -757,7 +763,7 @@
         hosts = [await Peer(answer()).start(), await Peer(answer()).start()]
         fast = {**SETTINGS["classes"][0], "aim_s": 2.0}
         known = [entry(f"s-{host.port}", host.port) for host in hosts]
-        async with world(*known, real=True, classes=[fast, SETTINGS["classes"][1]]) as w:
+        async with running_gateway(*known, real_module=True, classes=[fast, SETTINGS["classes"][1]]) as w:
             client = await w.client()
             for number in range(100):  # to learn the usual latency
                 assert (await client.ask(request(f"r{number}"))).status == 200
@@ -768,7 +774,7 @@
             tasks = [asyncio.create_task(host.arrived.get()) for host in hosts]
             (first,), (other,) = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
             first.result().reply(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort")
-            (await soon(other)).reply(answer(body=b"whole"))
+            (await with_timeout(other)).reply(answer(body=b"whole"))
             assert (await client.receive()).body == b"whole"
             assert w.node.clock.now() - begun < 20.0  # the client would wait for 30 s
         for host in hosts:
@@ -785,8 +791,8 @@
         fast = {**SETTINGS["classes"][0], "aim_s": 1.0}
         plan = {"name": "team", "per_second": 0.01, "most_at_once": 1.0}
         changes = {"classes": [fast, SETTINGS["classes"][1]], "packages": [plan]}
-        async with world(
-            entry("s-1", host.port), real=True, family_info={"may_count": False}, **changes
+        async with running_gateway(
+            entry("s-1", host.port), real_module=True, family_info={"may_count": False}, **changes
         ) as w:
             client = await w.client()
             assert (await client.ask(request("r1"))).status == 200
@@ -806,7 +812,7 @@
 
     async def test() -> None:
         ceilings = {"most_held": 1, "retry_after": allowed}
-        async with world(ceilings=ceilings, classes=with_timeout(0.3), sockets=64) as w:
+        async with running_gateway(ceilings=ceilings, classes=classes_with_timeout(0.3), sockets=64) as w:
             first, second = await w.client(), await w.client()
             first.send(request("r1"))
             await until(lambda: w.node.pending)
@@ -832,7 +838,7 @@
             {"name": "small", "per_second": 0.01, "most_at_once": 1.0},
             {"name": "team", "per_second": 1000.0, "most_at_once": 1000.0},
         ]
-        async with world(entry("s-1", host.port), real=True, packages=plans) as w:
+        async with running_gateway(entry("s-1", host.port), real_module=True, packages=plans) as w:
             client = await w.client()
             wrong = request("r1", Plan="small", Quota_Info="units=1,spread=3,first=0")
             assert (await client.ask(wrong)).status == 200
@@ -852,8 +858,8 @@
         host = await Peer().start()
         plan = {"name": "team", "per_second": 0.001, "most_at_once": 6.0, "excess_cost": 1.0}
         family = {"may_count": False, "most_units": 4, "post_paid": True, "use_period_s": 0.0}
-        async with world(
-            entry("s-1", host.port), real=True, packages=[plan], family_info=family, n_instances=1
+        async with running_gateway(
+            entry("s-1", host.port), real_module=True, packages=[plan], family_info=family, n_instances=1
         ) as w:
             client = await w.client()
             quota = {"Quota_Info": "units=1,spread=1,first=0"}
@@ -878,15 +884,15 @@
         if ceiling:
             plan |= {"per_second": 9.0, "most_at_once": 9.0, "never_over_rate": 0.001, "hard_burst": 1.5}
         family = {"may_count": False, "use_period_s": 0.0}
-        async with world(
-            entry("s-1", host.port), real=True, packages=[plan], family_info=family, n_instances=1
+        async with running_gateway(
+            entry("s-1", host.port), real_module=True, packages=[plan], family_info=family, n_instances=1
         ) as w:
             started, go = hold_connects(w.node.upstreams)
             w.node.gateway.admission.born = -math.inf  # the ceiling allows its whole burst
             quota = {"Quota_Info": "units=1,spread=1,first=0"}
             first, second = await w.client(), await w.client()
             first.send(request("r1", **quota))
-            await soon(started.wait())
+            await with_timeout(started.wait())
             first.close()
             await until(lambda: w.node.pending["r1"].answered)
             go.set()
@@ -906,7 +912,7 @@
         host = await Peer(answer()).start()
         plan = {"name": "team", "per_second": 1.0, "most_at_once": 6.0, "excess_cost": 1.0}
         changes = {"packages": [plan], "family_info": {"may_count": False}}
-        async with world(entry("s-1", host.port), real=True, **changes) as w:
+        async with running_gateway(entry("s-1", host.port), real_module=True, **changes) as w:
             client = await w.client()
             headers = {"Quota_Info": "units=1,spread=3,first=1"}
             first = [(await client.ask(request(f"a{i}", **headers))).status for i in range(3)]
@@ -923,29 +929,29 @@
 
     async def test() -> None:
         host = await Peer().start()
-        async with world(entry("s-1", host.port), real=True) as w:
+        async with running_gateway(entry("s-1", host.port), real_module=True) as w:
             client = await w.client()
             seen = w.node.gateway.hosts["s-1"]
             for number in range(5):
                 client.send(request(f"lost{number}"))
                 (await host.next()).reset()
                 assert (await client.receive()).status == 503
-                assert not seen.ill(w.node.clock.now(), 1.0) and not seen.retry_at
+                assert not seen.is_unhealthy(w.node.clock.now(), 1.0) and not seen.backoff_until
                 client.send(request(f"well{number}"))
                 (await host.next()).reply(answer())
                 assert (await client.receive()).status == 200
             for number in range(3):
-                assert not seen.retry_at
+                assert not seen.backoff_until
                 client.send(request(f"down{number}"))
                 (await host.next()).reset()
                 assert (await client.receive()).status == 503
-            assert seen.retry_at > w.node.clock.now()
+            assert seen.backoff_until > w.node.clock.now()
         gone = await Peer().start()
-        async with world(entry("s-1", gone.port), real=True) as w:
+        async with running_gateway(entry("s-1", gone.port), real_module=True) as w:
             gone.stop()
-            await soon(gone.server.wait_closed())
+            await with_timeout(gone.server.wait_closed())
             assert (await w.ask(request())).status == 503
-            assert w.node.gateway.hosts["s-1"].retry_at > w.node.clock.now()
+            assert w.node.gateway.hosts["s-1"].backoff_until > w.node.clock.now()
         host.stop()
 
     run(test())
