--- a/coralvale/net/discovery.py
+++ b/coralvale/net/discovery.py
@@ -53,7 +53,7 @@
     address: Address
 
     @property
-    def place(self) -> HostInstance:
+    def instance(self) -> HostInstance:
         return self.host.id, self.host.started_at, self.address
 
     @property
@@ -72,7 +72,7 @@
         self,
         address: Address,
         zones: tuple[str, ...],
-        kinds: tuple[str, ...],
+        machine_types: tuple[str, ...],
         on_change: Callable[[api.ListKind, tuple[api.HostInfo, ...], list[HostInstance]], None],
         max_silence: float = MAX_SILENCE_S,
         queued_callers: int = 0,
@@ -116,7 +116,7 @@
             max_propagation_delay - self.connect_timeout - self.max_response_time - 2 * LOOP_DELAY_MARGIN_S,
         )
         self.zones = {name: i for i, name in enumerate(zones)}
-        self.kinds = {name: i for i, name in enumerate(kinds)}
+        self.machine_types = {name: i for i, name in enumerate(machine_types)}
         self.endpoints: dict[str, Endpoint] = {}
         self.index: int | None = None
         self.random = random.Random()
@@ -154,7 +154,7 @@
             listed[name] = endpoint
         self.endpoints = listed
         # A host that drains, is gone, has restarted or moved: its idle connections are of no more use.
-        retired = [old.place for name, old in before.items() if self._is_retired(old, listed.get(name))]
+        retired = [old.instance for name, old in before.items() if self._is_retired(old, listed.get(name))]
         # Without a valid index the next watch starts with the full list.
         self.index = index if type(index) is int and index >= 0 else None
         if cached or full or changed:
@@ -179,7 +179,7 @@
             scale=weight,
             zone=self.zones.get(entry.get("zone", ""), -1),
             cell=int(entry.get("group") or 0),
-            kind=self.kinds.get(entry.get("type", ""), -1),
+            kind=self.machine_types.get(entry.get("type", ""), -1),
             started_at=since / 1000,
         )
         return Endpoint(host, ("", 0) if gone else read_address(entry["address"]))
--- a/coralvale/net/node.py
+++ b/coralvale/net/node.py
@@ -332,7 +332,7 @@
         The drain grace is not used for new attempts, as this gateway may have learnt of the drain late.
         """
         endpoint = self.discovery.endpoints.get(chosen.host.id)
-        return endpoint is not None and endpoint.place == chosen.place and not endpoint.draining
+        return endpoint is not None and endpoint.instance == chosen.instance and not endpoint.draining
 
     @staticmethod
     def _request_bytes(pending: PendingRequest, remaining: float) -> bytes:
@@ -423,8 +423,8 @@
     def _on_list_change(
         self, kind: api.ListKind, hosts: tuple[api.HostInfo, ...], retired: list[HostInstance]
     ) -> None:
-        for place in retired:
-            self.upstreams.retire(place)
+        for instance in retired:
+            self.upstreams.retire(instance)
         self.dispatch(api.HostList(kind, hosts))
 
     # Shutdown
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -130,11 +130,11 @@
 
     async def test() -> None:
         async with bench() as b:
-            leaving, place = entry("s-1", 1, status="leaving"), ("s-1", 0.0, ("127.0.0.1", 1))
+            leaving, instance = entry("s-1", 1, status="leaving"), ("s-1", 0.0, ("127.0.0.1", 1))
             await b.next_change()
             for snapshot in (False, False, True):
                 b.discovery.apply({"index": 42, "endpoints": [leaving], "snapshot": snapshot})
-                assert b.discovery.endpoints["s-1"].draining and place in (await b.next_change())[2]
+                assert b.discovery.endpoints["s-1"].draining and instance in (await b.next_change())[2]
             b.discovery.apply({"index": 45, "endpoints": [entry("s-1", 1, since_ms=9000)]})
             assert not b.discovery.endpoints["s-1"].draining
 
