--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""The node between the module and the sockets: one outcome an attempt, one answer a request."""
+"""The node between decision module and sockets: each attempt has one outcome, each request one response."""
 
 from __future__ import annotations
 
@@ -36,24 +36,28 @@
 from coralvale import interface as api
 from coralvale.interface import Outcome
 from coralvale.net.clock import Clock
-from coralvale.net.node import BEFORE, FLUSH, PendingRequest
+from coralvale.net.node import FLUSH_S, KILL_MARGIN_S, PendingRequest
 from coralvale.net.server import PIPELINED, SETTLING, Exchange
 from coralvale.net.upstream import REST, Attempt
 
 
-def send_all(w: RunningGateway, *servers: str, until_in: float = 60.0) -> None:
-    """First and further attempts go to `servers` in turn; after the last the request fails."""
-    left = list(servers)
+def send_all(w: RunningGateway, *hosts: str, timeout: float = 60.0) -> None:
+    """Has the module send the attempts of a request to `hosts` in turn; after the last the request fails."""
+    remaining = list(hosts)
 
-    def next_to(name: str) -> list[api.Action]:
-        return [api.Send(name, left.pop(0), w.node.clock.now() + until_in)] if left else [api.Fail(name)]
+    def send_next(name: str) -> list[api.Action]:
+        return (
+            [api.Send(name, remaining.pop(0), w.node.clock.now() + timeout)]
+            if remaining
+            else [api.Fail(name)]
+        )
 
-    w.script.on(api.Request, lambda e: next_to(e.id))
-    w.script.on(api.AttemptDone, lambda e: [] if e.request_done else next_to(e.request))
+    w.script.on(api.Request, lambda e: send_next(e.id))
+    w.script.on(api.AttemptDone, lambda e: [] if e.request_done else send_next(e.request))
 
 
 @pytest.mark.parametrize(("cls", "method"), [("read", b"GET"), ("write", b"POST")])
-def test_a_request_goes_on_and_the_answer_comes_back_unchanged(cls: str, method: bytes) -> None:
+def test_a_request_and_its_response_are_passed_on_unchanged(cls: str, method: bytes) -> None:
     async def test() -> None:
         host = await Peer().start()
         async with running_gateway(entry("s-1", host.port)) as w:
@@ -73,13 +77,13 @@
             assert message.headers[b"content-type"] == b"a/b" and b"usage-percent" not in message.headers
             done = await w.attempt_done()
             assert (done.attempt, done.outcome, done.request_done, done.usage) == (0, Outcome.OK, True, 0.85)
-            assert not w.node.held
+            assert not w.node.pending
         host.stop()
 
     run(test())
 
 
-def test_the_module_decides_on_each_further_attempt() -> None:
+def test_the_decision_module_decides_on_each_further_attempt() -> None:
     async def test() -> None:
         host = await Peer().start()
         async with running_gateway(entry("s-1", host.port), entry("s-2", host.port)) as w:
@@ -93,29 +97,29 @@
             assert [d.attempt for d in w.script.received(api.AttemptDone)] == [0, 1, 2]
             outcomes = [d.outcome for d in w.script.received(api.AttemptDone)]
             assert outcomes == [Outcome.FULL, Outcome.RESET, Outcome.NOT_SENT]
-            assert not done.request_done and not w.node.held
+            assert not done.request_done and not w.node.pending
         host.stop()
 
     run(test())
 
 
-def test_an_attempt_ends_at_its_time_and_the_request_at_the_clients() -> None:
+def test_an_attempt_ends_at_its_deadline_and_the_request_at_the_clients_timeout() -> None:
     async def test() -> None:
         host = await Peer().start()
         async with running_gateway(entry("s-1", host.port), entry("s-2", host.port)) as w:
-            send_all(w, "s-1", "s-2", until_in=0.05)
+            send_all(w, "s-1", "s-2", timeout=0.05)
             assert (await w.ask(request())).status == 504
             assert [d.outcome for d in w.script.received(api.AttemptDone)] == [Outcome.TIMEOUT] * 2
             send_all(w, "s-1")
             assert (await w.ask(request("r2", X_Timeout="0.1"))).status == 504
             assert (await w.attempt_done(3)).outcome is Outcome.TIMEOUT
-            await until(lambda: not w.node.held)
+            await until(lambda: not w.node.pending)
         host.stop()
 
     run(test())
 
 
-def test_a_module_that_says_nothing_loses_no_request() -> None:
+def test_a_request_without_a_decision_is_answered() -> None:
     async def test() -> None:
         async with running_gateway() as w:
             message = await w.ask(request(X_Timeout="0.1"))
@@ -130,7 +134,7 @@
     run(test())
 
 
-def test_an_attempt_has_one_outcome_after_the_client_left_too() -> None:
+def test_an_attempt_has_one_outcome_even_if_the_client_has_left() -> None:
     async def test() -> None:
         host = await Peer().start()
         async with running_gateway(entry("s-1", host.port)) as w:
@@ -140,16 +144,16 @@
             arrived = await host.next()
             client.close()
             await until(lambda: w.script.received(api.RequestAbandoned))
-            assert w.node.held and not w.script.received(api.AttemptDone)
+            assert w.node.pending and not w.script.received(api.AttemptDone)
             arrived.reply(answer())
             done = await w.attempt_done()
-            assert done.outcome is Outcome.OK and done.request_done and not w.node.held
+            assert done.outcome is Outcome.OK and done.request_done and not w.node.pending
         host.stop()
 
     run(test())
 
 
-def test_a_cancelled_attempt_is_closed_and_told_once() -> None:
+def test_a_cancelled_attempt_is_closed_and_reported_once() -> None:
     async def test() -> None:
         host = await Peer().start()
         async with running_gateway(entry("s-1", host.port)) as w:
@@ -158,7 +162,7 @@
             client.send(request())
             await host.next()
             for _ in range(2):
-                w.node.actions[api.Cancel](api.Cancel("r1", 0))
+                w.node.action_handlers[api.Cancel](api.Cancel("r1", 0))
             assert (await client.receive()).status == 502
             assert [d.outcome for d in w.script.received(api.AttemptDone)] == [Outcome.CANCELLED]
             await until(lambda: host.closed == 1)
@@ -168,7 +172,7 @@
 
 
 @pytest.mark.parametrize("change", ["left", "leaving", "restarted", "moved", "client", "none"])
-def test_between_connect_and_write_the_host_and_the_client_are_looked_at_again(change: str) -> None:
+def test_host_and_client_are_checked_again_between_connect_and_write(change: str) -> None:
     async def test() -> None:
         host = await Peer(answer()).start()
         known = entry("s-1", host.port)
@@ -204,8 +208,8 @@
 
 
 @pytest.mark.parametrize("attempt", ["first", "further"])
-def test_nothing_is_sent_for_a_client_whose_end_is_here_and_not_read_yet(attempt: str) -> None:
-    """A kept connection is there, so an attempt is written before the loop comes to the client's end."""
+def test_nothing_is_sent_for_a_client_that_has_closed_before_the_loop_notices(attempt: str) -> None:
+    """With an idle connection to the host, an attempt is written before the loop reads the client's close."""
 
     async def test() -> None:
         host, first = await Peer(answer()).start(), await Peer().start()
@@ -216,22 +220,22 @@
             await until(lambda: pool.idle and w.node.clock.now() - pool.idle[0].idle_since > 2 * REST)
             with socket.create_connection(("127.0.0.1", w.node.server.port)) as client:
                 client.sendall(request("r1"))
-                if attempt == "further":  # the host's answer is the first that the loop finds, then the end
+                if attempt == "further":  # the loop reads the host's response first, then the client's close
                     arrived = await first.next()
                     descriptor = arrived.writer.get_extra_info("socket").fileno()
                     os.write(descriptor, answer(503, X_Not_Processed="1"))
-            await until(lambda: w.script.received(api.RequestAbandoned) and not w.node.held)
+            await until(lambda: w.script.received(api.RequestAbandoned) and not w.node.pending)
             assert w.script.received(api.AttemptDone)[-1].outcome is Outcome.NOT_SENT
-            assert host.arrived.qsize() == 1  # the one before
+            assert host.arrived.qsize() == 1  # only the first one
         host.stop()
         first.stop()
 
     run(test())
 
 
-@pytest.mark.parametrize("waits", ["for a connection", "for the module"])
-def test_a_client_that_left_behind_unread_bytes_is_noticed(waits: str) -> None:
-    """So many requests of its connection are open that it is not read, and its end stands behind the rest."""
+@pytest.mark.parametrize("waits", ["for a connection", "for the decision module"])
+def test_a_client_that_closes_while_its_connection_is_not_read_is_noticed(waits: str) -> None:
+    """Its connection has too many open requests to be read, and its close follows unread bytes."""
 
     async def test() -> None:
         host = await Peer(answer()).start()
@@ -249,13 +253,17 @@
                 await w.attempt_done(PIPELINED)
                 assert {e.outcome for e in w.script.received(api.AttemptDone)} == {Outcome.NOT_SENT}
                 assert host.arrived.empty()
-            await until(lambda: len(w.script.received(api.RequestAbandoned)) == PIPELINED and not w.node.held)
+            await until(
+                lambda: len(w.script.received(api.RequestAbandoned)) == PIPELINED and not w.node.pending
+            )
         host.stop()
 
     run(test())
 
 
-def test_a_failing_module_loses_no_request_and_keeps_its_timer(caplog: pytest.LogCaptureFixture) -> None:
+def test_if_the_decision_module_fails_requests_are_answered_and_timers_set_again(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
     class Broken(RuntimeError):
         pass
 
@@ -267,7 +275,7 @@
         async with running_gateway(entry("s-1", host.port)) as w:
             client = await w.client()
             w.script.on(api.Request, fail)
-            assert (await client.ask(request("r1", "write"))).status == 503  # nothing was sent: no harm
+            assert (await client.ask(request("r1", "write"))).status == 503  # not sent: a retry is safe
             send_all(w, "s-1")
             w.script.on(api.AttemptDone, fail)
             client.send(request("r2", "write"))
@@ -278,9 +286,9 @@
             client.send(request("r3", "read"))
             (await host.next()).reply(answer(500))
             assert (await client.receive()).status == 503
-            assert not w.node.held
+            assert not w.node.pending
             w.script.on(api.TimerFired, fail)
-            w.node.actions[api.SetTimer](api.SetTimer(0, 0.01))
+            w.node.action_handlers[api.SetTimer](api.SetTimer(0, 0.01))
             await until(lambda: len(w.script.received(api.TimerFired)) >= 3)
         host.stop()
 
@@ -288,7 +296,7 @@
     assert "Broken: by design" in caplog.text and "Traceback" in caplog.text
 
 
-def test_a_finished_request_leaves_nothing_behind() -> None:
+def test_a_finished_request_leaves_no_objects_to_the_garbage_collector() -> None:
     async def test() -> None:
         host = await Peer(answer()).start()
         async with running_gateway(entry("s-1", host.port)) as w:
@@ -304,13 +312,13 @@
                 left = [o for o in gc.get_objects() if isinstance(o, PendingRequest | Attempt | Exchange)]
             finally:
                 gc.enable()
-            assert len(left) <= 3  # what the frames of the last one may still name
+            assert len(left) <= 3  # those that frames of the last request may still refer to
         host.stop()
 
     run(test())
 
 
-def test_probes_and_counts_are_answered() -> None:
+def test_probes_and_counter_calls_are_answered() -> None:
     async def test() -> None:
         host = await Peer(answer()).start()
         async with running_gateway(entry("s-1", host.port)) as w:
@@ -330,7 +338,7 @@
     run(test())
 
 
-def test_the_inherited_module_serves_over_sockets() -> None:
+def test_the_real_decision_module_serves_over_sockets() -> None:
     async def test() -> None:
         hosts = [await Peer(answer(body=b"served")).start() for _ in range(3)]
         async with running_gateway(
@@ -344,7 +352,7 @@
                 pass
             for i in range(50, 100):
                 assert (await client.ask(request(f"r{i}"))).status in (200, 503)
-            assert not w.node.held and not w.node.gateway.requests
+            assert not w.node.pending and not w.node.gateway.requests
             assert sum(h.arrived.qsize() for h in hosts) >= 50
         for host in hosts:
             host.stop()
@@ -352,7 +360,7 @@
     run(test())
 
 
-def test_after_sigterm_all_that_was_taken_is_answered() -> None:
+def test_after_sigterm_all_requests_are_answered() -> None:
     async def test() -> None:
         host = await Peer().start()
         async with running_gateway(entry("s-1", host.port)) as w:
@@ -366,7 +374,7 @@
             late = await w.client()
             late.send(request("r2"))
             second = await host.next()
-            kill = w.node.clock.now() + 3 + 0.7  # no sooner, by PROTOCOL
+            kill = w.node.clock.now() + 3 + 0.7  # the earliest SIGKILL
             assert w.script.received(api.Request)[1].expires_at < kill - 0.25
             assert await idle.closed_by_gateway()
             assert not w.node.stopped.done()
@@ -381,8 +389,8 @@
     run(test())
 
 
-def test_what_has_come_behind_an_open_request_is_answered_in_a_drain() -> None:
-    """Whole or by half: only the answer that nothing has come behind says that it is the last."""
+def test_pipelined_requests_are_answered_in_a_drain() -> None:
+    """Whether complete or partial: only the last response of the connection says that it is closed."""
 
     async def test() -> None:
         host = await Peer().start()
@@ -411,8 +419,8 @@
     run(test())
 
 
-def test_a_request_behind_the_one_that_ends_its_connection_is_let_go() -> None:
-    """The module is told of both its client's leaving and its attempt's end; nothing is written any more."""
+def test_a_request_pipelined_after_one_that_closes_the_connection_is_abandoned() -> None:
+    """The module gets both its RequestAbandoned and the end of its attempt; no response is written."""
 
     async def test() -> None:
         host = await Peer().start()
@@ -428,14 +436,14 @@
             assert [e.request for e in w.script.received(api.RequestAbandoned)] == ["r3"]
             third.reply(answer(body=b"late"))
             done = await w.attempt_done(2)
-            assert done.request == "r3" and not w.node.held
+            assert done.request == "r3" and not w.node.pending
         host.stop()
 
     run(test())
 
 
-def stop_by_hand(w: RunningGateway) -> list[tuple[float, Any]]:
-    """SIGTERM, with the steps of the drain left to the test: when each is due, and what it does."""
+def stop_step_by_step(w: RunningGateway) -> list[tuple[float, Any]]:
+    """Starts a drain without its timers: returns when each step is due (s), and the step."""
     steps: list[tuple[float, Any]] = []
     loop = w.node.loop
     w.node.loop = SimpleNamespace(call_later=lambda due, step: steps.append((due, step)))  # type: ignore[assignment]
@@ -444,29 +452,31 @@
     return sorted(steps, key=lambda step: step[0])
 
 
-def short(seconds: float) -> list[dict[str, Any]]:
+def classes_with_timeout(seconds: float) -> list[dict[str, Any]]:
     return [{**c, "aim_s": seconds, "give_up_s": seconds} for c in SETTINGS["classes"]]
 
 
-def test_with_short_deadlines_too_the_drain_lasts_while_clients_come(monkeypatch: pytest.MonkeyPatch) -> None:
-    """New connections come for 0.4 s after SIGTERM, whatever the longest deadline is."""
+def test_with_short_timeouts_too_the_drain_lasts_while_clients_connect(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """New connections arrive for 0.4 s after SIGTERM, even if the longest timeout is shorter."""
 
     async def test() -> None:
         host = await Peer(answer(body=b"done")).start()
-        async with running_gateway(entry("s-1", host.port), classes=short(0.2)) as w:
+        async with running_gateway(entry("s-1", host.port), classes=classes_with_timeout(0.2)) as w:
             send_all(w, "s-1")
-            for due, step in stop_by_hand(w):
+            for due, step in stop_step_by_step(w):
                 if due <= 0.4:
                     step()
             assert (await w.ask(request())).status == 200
         host.stop()
 
-    monkeypatch.setattr(Clock, "now", lambda _: 1000.0)  # a late loop must not use up the short deadline
+    monkeypatch.setattr(Clock, "now", lambda _: 1000.0)  # a late loop must not use up the short timeout
     run_in_fake_time(test())
 
 
 def test_a_new_connection_has_time_for_its_first_request_in_a_drain(monkeypatch: pytest.MonkeyPatch) -> None:
-    """One that came in as the idle ones were closed: its request may be a moment behind it."""
+    """A connection opened just as idle ones are closed: its request may arrive a moment later."""
 
     async def test() -> None:
         host = await Peer(answer(body=b"done")).start()
@@ -477,7 +487,7 @@
             client = await w.client()
             await until(lambda: len(w.node.server.connections) == 2)
             clock.now += SETTLING - 0.001
-            for due, step in stop_by_hand(w):
+            for due, step in stop_step_by_step(w):
                 if due <= 0.5:
                     step()
             assert await idle.closed_by_gateway()
@@ -489,21 +499,21 @@
     run(test())
 
 
-def test_nothing_is_sent_on_when_the_drains_time_is_up() -> None:
-    """The module knows of the client's time only, and would try the other host."""
+def test_no_attempt_is_sent_after_the_end_of_the_drain() -> None:
+    """The module knows only the client's timeout, and would try the other host."""
 
     async def test() -> None:
         hung, other = await Peer().start(), await Peer(answer(body=b"done")).start()
         async with running_gateway(entry("s-1", hung.port), entry("s-2", other.port)) as w:
             send_all(w, "s-2", "s-1", "s-2")
             assert (await w.ask(request("r1"))).body == b"done"
-            (kept,) = w.node.upstreams.connections  # and rested: a send on it would leave at once
+            (kept,) = w.node.upstreams.connections  # idle long enough for an attempt to be sent on it at once
             await until(lambda: w.node.clock.now() - kept.idle_since > REST)
             client = await w.client()
             client.send(request("r2"))
             await hung.next()
-            steps = stop_by_hand(w)
-            next(step for _, step in steps if step == w.node._end)()
+            steps = stop_step_by_step(w)
+            next(step for _, step in steps if step == w.node._end_drain)()
             assert [e.outcome for e in w.script.received(api.AttemptDone)][1:] == [
                 Outcome.TIMEOUT,
                 Outcome.NOT_SENT,
@@ -516,7 +526,7 @@
 
 
 @pytest.mark.parametrize("waits", ["for the counter", "for a connection", "for the answer"])
-def test_sigterm_finds_a_request_at_each_of_its_stages_and_answers_it_once(waits: str) -> None:
+def test_a_request_is_answered_once_at_whatever_stage_sigterm_comes(waits: str) -> None:
     async def test() -> None:
         host = await Peer().start()
         async with running_gateway(entry("s-1", host.port)) as w:
@@ -546,8 +556,8 @@
     run(test())
 
 
-def test_answers_half_written_at_sigterm_arrive_whole() -> None:
-    """A client that reads late: what it is owed is more than the kernel's buffers were made for."""
+def test_responses_partly_written_at_sigterm_arrive_complete() -> None:
+    """A client that reads late: its responses are larger than the kernel's buffers."""
 
     async def test() -> None:
         host = await Peer().start()
@@ -575,7 +585,7 @@
     run(test())
 
 
-def test_sighup_in_a_drain_disturbs_no_answer() -> None:
+def test_sighup_during_a_drain_disturbs_no_response() -> None:
     async def test() -> None:
         host, registry, counter = await Peer().start(), Registry(), await Peer().start()
         await registry.start()
@@ -597,8 +607,8 @@
     run(test())
 
 
-def connect_unseen(w: RunningGateway, count: int) -> list[socket.socket]:
-    """Connections that the kernel accepts while the loop, which gets no turn here, sees none of them."""
+def connect_unaccepted(w: RunningGateway, count: int) -> list[socket.socket]:
+    """Opens connections that only the kernel has accepted, as the event loop does not run in between."""
     address = ("127.0.0.1", w.node.server.port)
     return [socket.create_connection(address) for _ in range(count)]
 
@@ -609,7 +619,7 @@
 
 
 async def read_to_end(connection: socket.socket) -> bytes:
-    """What a client gets until its connection is closed; nothing if it is reset before its answer."""
+    """All that a client gets until its connection is closed; nothing if it is reset before its response."""
     connection.setblocking(False)
     reader, writer = await asyncio.open_connection(sock=connection)
     try:
@@ -624,27 +634,27 @@
     return await asyncio.gather(*map(read_to_end, connections))
 
 
-def take_steps(w: RunningGateway, *names: str) -> None:
-    """SIGTERM, then steps of the drain that are overdue together: the loop reads nothing between them."""
-    steps = {step.__name__: step for _, step in stop_by_hand(w)}
+def run_drain_steps(w: RunningGateway, *names: str) -> None:
+    """Starts a drain and runs overdue steps of it in a row, with nothing read from sockets in between."""
+    steps = {step.__name__: step for _, step in stop_step_by_step(w)}
     for name in names:
         steps[name]()
 
 
 @pytest.mark.parametrize("writes", ["before the listener is closed", "after it"])
-def test_all_that_the_kernel_accepted_is_taken_before_the_listener_is_closed(
+def test_all_connections_accepted_by_the_kernel_are_served_before_the_listener_is_closed(
     writes: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The loop is late: all limits on silence are over before it reads what the connections hold."""
+    """The event loop is late: all time limits on idle connections pass before it reads from them."""
 
     async def test() -> None:
         host = await Peer(answer(body=b"done")).start()
         async with running_gateway(entry("s-1", host.port), sockets=1024) as w:
             w.script.on(api.Request, lambda e: [api.Send(e.id, "s-1", 0.0)])
-            waiting = connect_unseen(w, 100)
+            waiting = connect_unaccepted(w, 100)
             if writes == "before the listener is closed":
                 send_numbered(waiting)
-            take_steps(w, "_linger", "_stop_accepting", "_linger")
+            run_drain_steps(w, "_close_idle", "_stop_accepting", "_close_idle")
             if writes == "after it":
                 send_numbered(waiting)
             w.node.server._sweep()
@@ -656,16 +666,16 @@
     run(test())
 
 
-def test_a_full_backlog_is_taken_to_its_last_connection(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The kernel lets one more wait than the backlog says."""
+def test_a_full_backlog_is_served_to_its_last_connection(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The kernel lets one connection more wait than the backlog."""
 
     async def test() -> None:
         host = await Peer(answer(body=b"done")).start()
         async with running_gateway(entry("s-1", host.port)) as w:
             w.script.on(api.Request, lambda e: [api.Send(e.id, "s-1", 0.0)])
-            waiting = connect_unseen(w, 9)
+            waiting = connect_unaccepted(w, 9)
             send_numbered(waiting)
-            take_steps(w, "_stop_accepting")
+            run_drain_steps(w, "_stop_accepting")
             assert all(b"done" in each for each in await read_all_to_end(waiting))
         host.stop()
 
@@ -674,8 +684,8 @@
     run(test())
 
 
-def test_the_listener_stays_open_while_the_kernel_holds_connections_that_have_no_room() -> None:
-    """The bound of connections is reached as the drain comes to close the listener."""
+def test_the_listener_stays_open_while_backlogged_connections_exceed_the_limit() -> None:
+    """The number of connections is at its limit when the drain is about to close the listener."""
 
     async def test() -> None:
         host = await Peer().start()
@@ -685,49 +695,51 @@
             busy = await w.client()
             busy.send(request("busy"))
             arrived = await host.next()
-            waiting = connect_unseen(w, 1)
+            waiting = connect_unaccepted(w, 1)
             send_numbered(waiting)
-            take_steps(w, "_stop_accepting")
+            run_drain_steps(w, "_stop_accepting")
             arrived.reply(answer(body=b"done"))
             assert (await busy.receive()).body == b"done"
             (await host.next()).reply(answer(body=b"done"))
             assert b"done" in (await read_all_to_end(waiting))[0]
-            await until(lambda: w.node.accepting_ended)
+            await until(lambda: w.node.listener_closed)
         host.stop()
 
     run(test())
 
 
-def test_a_late_loop_answers_what_it_has_not_read_before_it_ends(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The last steps of a drain come due together, ahead of the requests that the kernel holds already."""
+def test_a_late_event_loop_answers_unread_requests_before_it_stops(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The last steps of a drain are overdue together, and run before requests in the kernel are read."""
 
     async def test() -> None:
         async with running_gateway() as w:
 
             async def end_when_stopped() -> None:
-                """As the program does, whose loop cancels what still runs."""
+                """As in the program, where closing the event loop cancels the tasks that still run."""
                 await w.node.stopped
                 w.node.close()
                 for task in w.node.server.tasks:
                     task.cancel()
 
             ending = asyncio.create_task(end_when_stopped())
-            connections = connect_unseen(w, 2)
+            connections = connect_unaccepted(w, 2)
             await until(lambda: len(w.node.server.connections) == 2)
-            connections += connect_unseen(w, 2)
+            connections += connect_unaccepted(w, 2)
             send_numbered(connections)
-            take_steps(w, "_stop_accepting", "_end")
-            time.sleep(2 * FLUSH)  # noqa: ASYNC251 - the loop itself is late
+            run_drain_steps(w, "_stop_accepting", "_end_drain")
+            time.sleep(2 * FLUSH_S)  # noqa: ASYNC251 - blocks the loop to make it late
             answers = await read_all_to_end(connections)
             assert [each[:12] for each in answers] == [b"HTTP/1.1 503"] * 4
             await with_timeout(ending)
 
-    monkeypatch.setattr("coralvale.net.node.DEADLINE", 0.0)
-    monkeypatch.setattr("coralvale.net.node.KILLED", BEFORE)  # the drain's time is up at once
+    monkeypatch.setattr("coralvale.net.node.MAX_TIMEOUT_BEFORE_KILL_S", 0.0)
+    monkeypatch.setattr("coralvale.net.node.KILL_DELAY_S", KILL_MARGIN_S)  # the drain ends at once
     run(test())
 
 
-def test_what_is_unanswered_before_the_kill_is_answered_then(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_requests_unanswered_at_the_end_of_the_drain_are_answered_then(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def test() -> None:
         host = await Peer().start()
         async with running_gateway(entry("s-1", host.port)) as w:
@@ -740,12 +752,12 @@
             await with_timeout(w.node.stopped)
         host.stop()
 
-    monkeypatch.setattr("coralvale.net.node.DEADLINE", 0.5)
+    monkeypatch.setattr("coralvale.net.node.MAX_TIMEOUT_BEFORE_KILL_S", 0.5)
     run(test())
 
 
-def test_a_request_that_a_host_leaves_unanswered_is_served_by_another_before_its_aim() -> None:
-    """The real module: an answer that stops short must not hold a safe request until the client gives up."""
+def test_a_request_that_a_host_never_finishes_is_served_by_another() -> None:
+    """The real module: a truncated response must not hold a safe request until the client times out."""
 
     async def test() -> None:
         hosts = [await Peer(answer()).start(), await Peer(answer()).start()]
@@ -753,7 +765,7 @@
         known = [entry(f"s-{host.port}", host.port) for host in hosts]
         async with running_gateway(*known, real_module=True, classes=[fast, SETTINGS["classes"][1]]) as w:
             client = await w.client()
-            for number in range(100):  # so that it knows what is usual
+            for number in range(100):  # to learn the usual latency
                 assert (await client.ask(request(f"r{number}"))).status == 200
             for host in hosts:
                 host.auto, host.arrived = None, asyncio.Queue()
@@ -771,8 +783,8 @@
     run(test())
 
 
-def test_one_refused_by_its_quota_is_told_to_come_back_before_its_aim() -> None:
-    """Another of the customer's gateways may have room; an answer after the aim is worth nothing."""
+def test_the_retry_after_of_a_quota_refusal_is_within_the_latency_target() -> None:
+    """Another of its gateways may have quota left, and a response after the target is worth nothing."""
 
     async def test() -> None:
         host = await Peer(answer()).start()
@@ -793,23 +805,23 @@
 
 
 @pytest.mark.parametrize("allowed", [True, False])
-def test_refusals_that_the_module_does_not_word_say_when_to_come_back_only_where_allowed(
+def test_refusals_by_the_node_carry_a_retry_after_only_where_allowed(
     allowed: bool,
 ) -> None:
-    """One beyond the most held, one on a connection beyond the bound, one that nobody decided on."""
+    """One beyond the limit of pending requests, one on a surplus connection, one without a decision."""
 
     async def test() -> None:
         ceilings = {"most_held": 1, "retry_after": allowed}
-        async with running_gateway(ceilings=ceilings, classes=short(0.3), sockets=64) as w:
+        async with running_gateway(ceilings=ceilings, classes=classes_with_timeout(0.3), sockets=64) as w:
             first, second = await w.client(), await w.client()
             first.send(request("r1"))
-            await until(lambda: w.node.held)
+            await until(lambda: w.node.pending)
             refusals = [await second.ask(request("r2")), await first.receive()]
             w.node.server.most = 0
             w.script.on(api.Request, lambda e: [])
             third = await w.client()
             for client in (first, second):
-                client.send(request("r3")[:20])  # not idle, so that none of them makes room
+                client.send(request("r3")[:20])  # not idle, so that neither is closed to make room
             refusals.append(await third.ask(request("r4")))
             for refusal in refusals:
                 assert refusal.status == 503 and (b"retry-after" in refusal.headers) == allowed
@@ -817,18 +829,18 @@
     run(test())
 
 
-def test_a_request_with_a_wrong_plan_or_set_does_not_settle_its_customer() -> None:
-    """The first request of a customer names a mean plan and a wide set; those that follow get their own."""
+def test_a_wrong_plan_or_spread_in_the_first_request_does_not_fix_them_for_the_customer() -> None:
+    """The first request names a small plan and a wide spread; those that follow get their own."""
 
     async def test() -> None:
         host = await Peer(answer()).start()
         plans = [
-            {"name": "mean", "per_second": 0.01, "most_at_once": 1.0},
+            {"name": "small", "per_second": 0.01, "most_at_once": 1.0},
             {"name": "team", "per_second": 1000.0, "most_at_once": 1000.0},
         ]
         async with running_gateway(entry("s-1", host.port), real_module=True, packages=plans) as w:
             client = await w.client()
-            wrong = request("r1", Plan="mean", Quota_Info="units=1,spread=3,first=0")
+            wrong = request("r1", Plan="small", Quota_Info="units=1,spread=3,first=0")
             assert (await client.ask(wrong)).status == 200
             for number in range(20):
                 assert (await client.ask(request(f"ok{number}"))).status == 200
@@ -839,8 +851,8 @@
     run(test())
 
 
-def test_units_settled_afterwards_come_off_the_bucket_as_the_answer_tells_them() -> None:
-    """The real module: a guess of one that was truly four leaves that much less for the next."""
+def test_billed_units_replace_the_estimate_in_the_bucket() -> None:
+    """The real module: an estimate of 1 unit that is billed as 4 leaves 3 less for the next request."""
 
     async def test() -> None:
         host = await Peer().start()
@@ -850,21 +862,21 @@
             entry("s-1", host.port), real_module=True, packages=[plan], family_info=family, n_instances=1
         ) as w:
             client = await w.client()
-            sets = {"Quota_Info": "units=1,spread=1,first=0"}
-            for id, told in (("r1", "4"), ("r2", "none"), ("r3", "9")):
-                client.send(request(id, **sets))
-                (await host.next()).reply(answer(body=b"done", Billed_Units=told))
+            quota = {"Quota_Info": "units=1,spread=1,first=0"}
+            for id, billed in (("r1", "4"), ("r2", "none"), ("r3", "9")):
+                client.send(request(id, **quota))
+                (await host.next()).reply(answer(body=b"done", Billed_Units=billed))
                 message = await client.receive()
                 assert message.body == b"done" and b"billed-units" not in message.headers
-            assert (await client.ask(request("r4", **sets))).status == 503
+            assert (await client.ask(request("r4", **quota))).status == 503
         host.stop()
 
     run(test())
 
 
 @pytest.mark.parametrize("ceiling", [False, True])
-def test_one_that_left_before_it_was_sent_has_taken_no_units(ceiling: bool) -> None:
-    """The real module: the next request finds the bucket, and the ceiling, as they were before."""
+def test_a_request_abandoned_before_it_was_sent_takes_no_units(ceiling: bool) -> None:
+    """The real module: the next request finds the bucket and the ceiling unchanged."""
 
     async def test() -> None:
         host = await Peer(answer(body=b"done")).start()
@@ -876,25 +888,25 @@
             entry("s-1", host.port), real_module=True, packages=[plan], family_info=family, n_instances=1
         ) as w:
             started, go = hold_connects(w.node.upstreams)
-            w.node.gateway.admission.born = -math.inf  # the ceiling is full
-            sets = {"Quota_Info": "units=1,spread=1,first=0"}
+            w.node.gateway.admission.born = -math.inf  # the ceiling allows its whole burst
+            quota = {"Quota_Info": "units=1,spread=1,first=0"}
             first, second = await w.client(), await w.client()
-            first.send(request("r1", **sets))
+            first.send(request("r1", **quota))
             await with_timeout(started.wait())
             first.close()
-            await until(lambda: w.node.held["r1"].answered)
+            await until(lambda: w.node.pending["r1"].answered)
             go.set()
-            await until(lambda: not w.node.held)
+            await until(lambda: not w.node.pending)
             assert host.arrived.empty()
-            assert (await second.ask(request("r2", **sets))).body == b"done"
-            assert (await second.ask(request("r3", **sets))).status == 503
+            assert (await second.ask(request("r2", **quota))).body == b"done"
+            assert (await second.ask(request("r3", **quota))).status == 503
         host.stop()
 
     run(test())
 
 
-def test_a_customer_that_asks_for_little_has_the_whole_burst_at_any_gateway() -> None:
-    """Requests that belong together come to one gateway by chance; one that asks on and on has its part."""
+def test_a_customer_with_few_requests_has_the_whole_burst_at_any_gateway() -> None:
+    """A few requests may all come to one gateway by chance; a steady flow gets only the gateway's share."""
 
     async def test() -> None:
         host = await Peer(answer()).start()
@@ -904,7 +916,7 @@
             client = await w.client()
             headers = {"Quota_Info": "units=1,spread=3,first=1"}
             first = [(await client.ask(request(f"a{i}", **headers))).status for i in range(3)]
-            assert first == [200] * 3  # a third of the burst is two
+            assert first == [200] * 3  # a third of the burst is 2
             more = [(await client.ask(request(f"b{i}", **headers))).status for i in range(20)]
             assert more.count(200) <= 3
         host.stop()
@@ -912,8 +924,8 @@
     run(test())
 
 
-def test_a_lost_connection_is_told_from_a_lost_host() -> None:
-    """Single breaks pause no host that goes on answering; breaks in a row, or a refused connection, do."""
+def test_a_broken_connection_is_distinguished_from_a_failed_host() -> None:
+    """Single breaks pause no host that still responds; breaks in a row, or a refused connection, do."""
 
     async def test() -> None:
         host = await Peer().start()
