--- a/coralvale/net/node.py
+++ b/coralvale/net/node.py
@@ -22,8 +22,8 @@
 from coralvale.net.config import Address, Config, Place
 from coralvale.net.counter import Counter
 from coralvale.net.discovery import Discovery, Endpoint
-from coralvale.net.server import NOT_PASSED_ON, Arrival, Exchange, Server
-from coralvale.net.upstream import Answer, Attempt, Upstreams
+from coralvale.net.server import HEADERS_NOT_FORWARDED, Exchange, ParsedRequest, Server
+from coralvale.net.upstream import Attempt, Response, Upstreams
 
 log = logging.getLogger(__name__)
 
@@ -69,7 +69,7 @@
         "timed_out",
     )
 
-    def __init__(self, exchange: Exchange, arrival: Arrival, expires_at: float) -> None:
+    def __init__(self, exchange: Exchange, arrival: ParsedRequest, expires_at: float) -> None:
         self.exchange, self.arrival, self.expires_at = exchange, arrival, expires_at
         self.attempts: list[Attempt] = []
         self.out = 0
@@ -204,7 +204,7 @@
             return
         if (
             held.may_have_run
-            and self.settings.classes[held.arrival.cls].idempotency is not api.Idempotency.SAFE
+            and self.settings.classes[held.arrival.class_index].idempotency is not api.Idempotency.SAFE
         ):
             self._finish(held, 504 if held.timed_out else 502)
         else:
@@ -222,35 +222,35 @@
             if held.timer:
                 held.timer.cancel()
             self.held.pop(held.arrival.id, None)
-            held.exchange.held = None  # no cycles are left behind: nothing waits for the collector
+            held.exchange.pending_request = None  # no cycles are left behind: nothing waits for the collector
             held.attempts.clear()
             if self.ends_at is not None:
                 self._end_if_done()
 
     # Clients
 
-    def take(self, exchange: Exchange, arrival: Arrival) -> None:
+    def handle_request(self, exchange: Exchange, arrival: ParsedRequest) -> None:
         if arrival.id in self.held:  # ids are new with every request; two under one cannot be told apart
-            exchange.refuse(400, b"x-request-id: in use\n")
+            exchange.reject(400, b"x-request-id: in use\n")
             return
         if len(self.held) >= self.config.most_held:
             exchange.reply(503, retry_after=self.settings.retry_after_limit)
             return
         now = self.clock.now()
-        patience = min(arrival.time_out, self.settings.classes[arrival.cls].timeout)
+        patience = min(arrival.timeout, self.settings.classes[arrival.class_index].timeout)
         expires_at = now + max(0.0, patience - ANSWER_ROOM)
         if self.ends_at is not None:
             expires_at = min(expires_at, self.ends_at)
         held = PendingRequest(exchange, arrival, expires_at)
-        exchange.held = held
+        exchange.pending_request = held
         self.held[arrival.id] = held
         self.feed(
             api.Request(
                 id=arrival.id,
-                class_index=arrival.cls,
-                plan_index=arrival.plan,
+                class_index=arrival.class_index,
+                plan_index=arrival.plan_index,
                 customer=arrival.customer,
-                entry_gateways=arrival.entries,
+                entry_gateways=arrival.entry_gateways,
                 expires_at=expires_at,
                 units=arrival.units,
             )
@@ -258,8 +258,8 @@
         if not held.answered:  # most requests of a busy day are refused at once and need no timer
             held.timer = self.loop.call_later(max(0.0, expires_at - now), self._expire, held)
 
-    def client_left(self, exchange: Exchange) -> None:
-        held = exchange.held
+    def client_disconnected(self, exchange: Exchange) -> None:
+        held = exchange.pending_request
         if held is not None and not held.answered:
             held.answered = True
             self.feed(api.RequestAbandoned(held.arrival.id))
@@ -270,7 +270,7 @@
         held.expires_at = min(held.expires_at, self.clock.now())  # a drain may have less time: no more sends
         for attempt in list(held.attempts):
             if not attempt.ended:
-                self.upstreams.give_up(attempt, Outcome.TIMEOUT)
+                self.upstreams.abort_attempt(attempt, Outcome.TIMEOUT)
         self._give_up(held)
 
     # The module's actions
@@ -291,19 +291,19 @@
         until = min(action.deadline or held.expires_at, held.expires_at)
 
         def payload() -> bytes | None:
-            if held.exchange.connection.gone():
-                self.client_left(held.exchange)
+            if held.exchange.connection.is_disconnected():
+                self.client_disconnected(held.exchange)
             if held.answered or not self._may_go(endpoint):
                 return None
             left = until - self.clock.now()
             return self._payload(held, left) if left > 0 else None
 
         attempt = Attempt(action.host, endpoint.address, payload, partial(self._done, held), number, now)
-        attempt.started_at = endpoint.server.started_at
+        attempt.host_started_at = endpoint.server.started_at
         held.attempts.append(attempt)
         if until < held.expires_at - TIMER:
             attempt.timer = self.loop.call_later(
-                max(0.0, until - now), self.upstreams.give_up, attempt, Outcome.TIMEOUT
+                max(0.0, until - now), self.upstreams.abort_attempt, attempt, Outcome.TIMEOUT
             )
         self.upstreams.send(attempt)
 
@@ -323,13 +323,17 @@
         return b"%b %b HTTP/1.1\r\n%bX-Timeout: %.3f\r\n%b\r\n%b" % (
             exchange.method,
             exchange.target,
-            b"".join([b"%b: %b\r\n" % h for h in exchange.headers if h[0].lower() not in NOT_PASSED_ON]),
+            b"".join(
+                [b"%b: %b\r\n" % h for h in exchange.headers if h[0].lower() not in HEADERS_NOT_FORWARDED]
+            ),
             left,
             length,
             body,
         )
 
-    def _done(self, held: PendingRequest, attempt: Attempt, outcome: Outcome, answer: Answer | None) -> None:
+    def _done(
+        self, held: PendingRequest, attempt: Attempt, outcome: Outcome, answer: Response | None
+    ) -> None:
         """An attempt's one outcome; the first whole answer goes to the client at once."""
         held.out -= 1
         held.may_have_run = held.may_have_run or outcome not in NOT_RUN
@@ -340,14 +344,14 @@
         self.feed(
             api.AttemptDone(
                 request=held.arrival.id,
-                attempt=attempt.number,
+                attempt=attempt.index,
                 outcome=outcome,
                 delay=self.clock.now() - attempt.sent_at,
                 request_done=held.answered,
                 usage=answer.usage if answer else None,
                 units=answer.units if answer and outcome is Outcome.OK else None,
-                load_report=answer.report if answer else (),
-                connection_broken=attempt.broke,
+                load_report=answer.load_report if answer else (),
+                connection_broken=attempt.connection_broken,
             )
         )
         self._forget(held)
@@ -355,7 +359,7 @@
     def _cancel(self, action: api.Cancel) -> None:
         held = self.held.get(action.request)
         if held and 0 <= action.attempt < len(held.attempts) and not held.attempts[action.attempt].ended:
-            self.upstreams.give_up(held.attempts[action.attempt], Outcome.CANCELLED)
+            self.upstreams.abort_attempt(held.attempts[action.attempt], Outcome.CANCELLED)
 
     def _refuse(self, action: api.Refuse) -> None:
         if held := self.held.get(action.request):
@@ -372,8 +376,8 @@
     def _probe(self, action: api.Probe) -> None:
         endpoint, started = self.discovery.endpoints.get(action.host), self.clock.now()
 
-        def ended(attempt: Attempt, outcome: Outcome, answer: Answer | None) -> None:
-            report = answer.report if answer else ()
+        def ended(attempt: Attempt, outcome: Outcome, answer: Response | None) -> None:
+            report = answer.load_report if answer else ()
             self.feed(api.ProbeDone(action.host, outcome, self.clock.now() - started, report))
 
         text = f"GET /alive HTTP/1.1\r\nHost: {action.host}\r\n\r\n".encode()
@@ -381,9 +385,9 @@
         if endpoint is None:
             attempt.end(Outcome.NOT_SENT)
             return
-        attempt.started_at = endpoint.server.started_at
+        attempt.host_started_at = endpoint.server.started_at
         attempt.timer = self.loop.call_later(
-            self.config.connect_timeout, self.upstreams.give_up, attempt, Outcome.TIMEOUT
+            self.config.connect_timeout, self.upstreams.abort_attempt, attempt, Outcome.TIMEOUT
         )
         self.upstreams.send(attempt)
 
@@ -424,7 +428,7 @@
 
     def _linger(self) -> None:
         """Closes idle connections until none is left; one with an unread request is served first."""
-        self.server.close_idle()
+        self.server.close_idle_connections()
         self._end_if_done()
         if not self.stopped.done():
             self.loop.call_later(STEP, self._linger)
@@ -436,7 +440,7 @@
     def _end(self) -> None:
         for held in list(self.held.values()):
             self._expire(held)
-        self.server.close_idle()
+        self.server.close_idle_connections()
         self.loop.call_later(FLUSH, self._end_when_answered, MORE_STEPS)
 
     def _end_when_answered(self, steps: int) -> None:
@@ -444,7 +448,7 @@
 
         A late loop runs its overdue timers ahead of its sockets, so FLUSH may be over before they are read.
         """
-        if steps and (not self.accepting_ended or self.server.owes_answers()):
+        if steps and (not self.accepting_ended or self.server.has_pending_responses()):
             self.loop.call_later(STEP, self._end_when_answered, steps - 1)
         else:
             self._ended()
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -37,8 +37,8 @@
 from coralvale.interface import Outcome
 from coralvale.net.clock import Clock
 from coralvale.net.node import BEFORE, FLUSH, PendingRequest
-from coralvale.net.server import PIPELINED, SETTLING, Exchange
-from coralvale.net.upstream import REST, Attempt
+from coralvale.net.server import MAX_PIPELINED_REQUESTS, NEW_CONNECTION_GRACE_S, Exchange
+from coralvale.net.upstream import REUSE_DELAY_S, Attempt
 
 
 def send_all(w: World, *servers: str, until_in: float = 60.0) -> None:
@@ -211,7 +211,10 @@
             send_all(w, "s-1", *["s-2"] * (attempt == "further"), "s-1")
             await w.ask(request("warm"))
             pool = next(iter(w.node.upstreams.pools.values()))
-            await until(lambda: pool.idle and w.node.clock.now() - pool.idle[0].idle_since > 2 * REST)
+            await until(
+                lambda: pool.idle_connections
+                and w.node.clock.now() - pool.idle_connections[0].idle_since > 2 * REUSE_DELAY_S
+            )
             with socket.create_connection(("127.0.0.1", w.node.server.port)) as client:
                 client.sendall(request("r1"))
                 if attempt == "further":  # the host's answer is the first that the loop finds, then the end
@@ -239,15 +242,17 @@
                 w.script.on(api.Request, lambda e: [api.Send(e.id, "s-1", 0.0)])
             with socket.create_connection(("127.0.0.1", w.node.server.port)) as client:
                 await until(lambda: w.node.server.connections)
-                client.sendall(b"".join(request(f"r{i}") for i in range(PIPELINED)))
-                await until(lambda: any(c.paused for c in w.node.server.connections))
+                client.sendall(b"".join(request(f"r{i}") for i in range(MAX_PIPELINED_REQUESTS)))
+                await until(lambda: any(c.reading_paused for c in w.node.server.connections))
                 client.sendall(request("unread"))
             if waits == "for a connection":
                 go.set()
-                await w.done(PIPELINED)
+                await w.done(MAX_PIPELINED_REQUESTS)
                 assert {e.outcome for e in w.script.of(api.AttemptDone)} == {Outcome.NOT_SENT}
                 assert host.arrived.empty()
-            await until(lambda: len(w.script.of(api.RequestAbandoned)) == PIPELINED and not w.node.held)
+            await until(
+                lambda: len(w.script.of(api.RequestAbandoned)) == MAX_PIPELINED_REQUESTS and not w.node.held
+            )
         host.stop()
 
     run(test())
@@ -389,7 +394,7 @@
             client.send(request("r1") + request("r2") + third[:40])
             waiting = [await host.next(), await host.next()]
             (connection,) = w.node.server.connections
-            assert connection.reading
+            assert connection.incoming
             w.node.stop()
             for arrived in waiting:
                 arrived.reply(answer(body=arrived.message.headers[b"x-request-id"]))
@@ -472,7 +477,7 @@
             assert (await idle.ask(b"GET /up HTTP/1.1\r\n\r\n")).status == 503
             client = await w.client()
             await until(lambda: len(w.node.server.connections) == 2)
-            clock.now += SETTLING - 0.001
+            clock.now += NEW_CONNECTION_GRACE_S - 0.001
             for due, step in stop_by_hand(w):
                 if due <= 0.5:
                     step()
@@ -494,7 +499,7 @@
             send_all(w, "s-2", "s-1", "s-2")
             assert (await w.ask(request("r1"))).body == b"done"
             (kept,) = w.node.upstreams.connections  # and rested: a send on it would leave at once
-            await until(lambda: w.node.clock.now() - kept.idle_since > REST)
+            await until(lambda: w.node.clock.now() - kept.idle_since > REUSE_DELAY_S)
             client = await w.client()
             client.send(request("r2"))
             await hung.next()
@@ -551,17 +556,17 @@
             w.script.on(api.Request, lambda e: [api.Send(e.id, "s-1", 0.0)])
             client, body = await w.client(), os.urandom(64 * 1024)
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
-            client.send(b"".join(request(f"r{i}") for i in range(PIPELINED)))
-            waiting = [await host.next() for _ in range(PIPELINED)]
+            client.send(b"".join(request(f"r{i}") for i in range(MAX_PIPELINED_REQUESTS)))
+            waiting = [await host.next() for _ in range(MAX_PIPELINED_REQUESTS)]
             for arrived in waiting[1:]:
                 arrived.reply(answer(body=body))
-            await until(lambda: len(w.script.of(api.AttemptDone)) == PIPELINED - 1)
+            await until(lambda: len(w.script.of(api.AttemptDone)) == MAX_PIPELINED_REQUESTS - 1)
             w.node.stop()
             waiting[0].reply(answer(body=body))
-            await w.done(PIPELINED)
+            await w.done(MAX_PIPELINED_REQUESTS)
             assert not w.node.stopped.done()
             client.writer.transport.resume_reading()  # type: ignore[attr-defined]
-            answers = [await client.receive() for _ in range(PIPELINED)]
+            answers = [await client.receive() for _ in range(MAX_PIPELINED_REQUESTS)]
             assert all(message.body == body for message in answers)
             assert b"connection" not in answers[0].headers and answers[-1].headers[b"connection"] == b"close"
             assert await client.at_end()
@@ -647,7 +652,7 @@
             assert all(b"done" in each for each in await read_all_to_end(waiting))
         host.stop()
 
-    for name in ("PARTIAL", "SETTLING", "SWEEP"):
+    for name in ("REQUEST_READ_TIMEOUT_S", "NEW_CONNECTION_GRACE_S", "SWEEP_INTERVAL_S"):
         monkeypatch.setattr(f"coralvale.net.server.{name}", 0.0)
     run(test())
 
@@ -665,8 +670,8 @@
             assert all(b"done" in each for each in await read_all_to_end(waiting))
         host.stop()
 
-    monkeypatch.setattr("coralvale.net.server.BACKLOG", 8)
-    monkeypatch.setattr("coralvale.net.server.ACCEPTS", 4)
+    monkeypatch.setattr("coralvale.net.server.LISTEN_BACKLOG", 8)
+    monkeypatch.setattr("coralvale.net.server.MAX_ACCEPTS_PER_CALL", 4)
     run(test())
 
 
@@ -677,7 +682,7 @@
         host = await Peer().start()
         async with world(entry("s-1", host.port)) as w:
             w.script.on(api.Request, lambda e: [api.Send(e.id, "s-1", 0.0)])
-            w.node.server.most, w.node.server.surplus = 1, 0
+            w.node.server.max_connections, w.node.server.max_overflow = 1, 0
             busy = await w.client()
             busy.send(request("busy"))
             arrived = await host.next()
@@ -801,7 +806,7 @@
             first.send(request("r1"))
             await until(lambda: w.node.held)
             refusals = [await second.ask(request("r2")), await first.receive()]
-            w.node.server.most = 0
+            w.node.server.max_connections = 0
             w.script.on(api.Request, lambda e: [])
             third = await w.client()
             for client in (first, second):
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -9,7 +9,7 @@
 from net_helpers import Client, StillClock, World, entry, request, run, soon, until, world
 
 from coralvale import interface as api
-from coralvale.net.server import IDLE, PARTIAL
+from coralvale.net.server import IDLE_TIMEOUT_S, REQUEST_READ_TIMEOUT_S
 
 MOMENT = 0.001  # s by which a time limit is passed
 
@@ -193,7 +193,7 @@
     async def test() -> None:
         async with world() as w:
             refuse_all(w)
-            w.node.server.most, w.node.server.surplus = 2, 1
+            w.node.server.max_connections, w.node.server.max_overflow = 2, 1
             first, second = await w.client(), await w.client()
             await first.ask(request("r1"))
             await second.ask(request("r2"))
@@ -221,7 +221,7 @@
 
     async def test() -> None:
         async with world() as w:
-            w.node.server.most, w.node.server.surplus = 1, 0
+            w.node.server.max_connections, w.node.server.max_overflow = 1, 0
             first = await w.client()
             first.send(request("r1"))
             await until(lambda: len(w.node.held) == 1)
@@ -279,11 +279,11 @@
             slow.send(request()[:-10])
             body.send(request(cls="write", Content_Length="9") + b"x")
             assert (await usual.ask(request("r1"))).status == 503
-            await until(lambda: sum(c.reading is not None for c in w.node.server.connections) == 2)
-            clock.now += PARTIAL
+            await until(lambda: sum(c.incoming is not None for c in w.node.server.connections) == 2)
+            clock.now += REQUEST_READ_TIMEOUT_S
             w.node.server._sweep()
             assert len(w.node.server.connections) == 4  # their time is not over yet
-            assert not any(c.ended or c.failed for c in w.node.server.connections)
+            assert not any(c.closing or c.error_status for c in w.node.server.connections)
             clock.now += MOMENT
             for client in (slow, body):  # they are told why, as nothing was taken of them
                 assert (await client.receive()).status == 408
@@ -291,16 +291,16 @@
             assert await silent.at_end()
             assert (await usual.ask(request("r2"))).status == 503  # one that asks is not hurried
             await until(lambda: len(w.node.server.connections) == 1)
-            clock.now += IDLE
+            clock.now += IDLE_TIMEOUT_S
             w.node.server._sweep()
-            assert [c.ended for c in w.node.server.connections] == [False]
+            assert [c.closing for c in w.node.server.connections] == [False]
             clock.now += MOMENT
             assert await usual.at_end()
             assert len(w.script.of(api.Request)) == 2
 
     clock = StillClock()
     monkeypatch.setattr("coralvale.net.server.time", clock)
-    for name in ("SWEEP", "LINGER"):
+    for name in ("SWEEP_INTERVAL_S", "LINGER_S"):
         monkeypatch.setattr(f"coralvale.net.server.{name}", 0.01)
     run(test())
 
@@ -309,14 +309,14 @@
     async def test() -> None:
         async with world() as w:
             refuse_all(w)
-            w.node.server.most = 3
+            w.node.server.max_connections = 3
             first, second = await w.client(), await w.client()
             await first.ask(request("r1"))
             await second.ask(request("r2"))
             assert await first.at_end()
 
-    monkeypatch.setattr("coralvale.net.server.SHORT_IDLE", 0.01)
-    monkeypatch.setattr("coralvale.net.server.SWEEP", 0.01)
+    monkeypatch.setattr("coralvale.net.server.SHORT_IDLE_TIMEOUT_S", 0.01)
+    monkeypatch.setattr("coralvale.net.server.SWEEP_INTERVAL_S", 0.01)
     run(test())
 
 
@@ -326,13 +326,13 @@
     async def test() -> None:
         async with world() as w:
             refuse_all(w)
-            w.node.server.most, w.node.server.surplus = 4, 0
+            w.node.server.max_connections, w.node.server.max_overflow = 4, 0
             silent = [await w.client() for _ in range(100)]
             assert (await w.ask(request())).headers[b"retry-after"] == b"0.250"
             assert len(w.node.server.connections) <= 4
             assert await silent[0].at_end()
 
-    monkeypatch.setattr("coralvale.net.server.SETTLING", 0.0)
+    monkeypatch.setattr("coralvale.net.server.NEW_CONNECTION_GRACE_S", 0.0)
     run(test())
 
 
@@ -374,8 +374,8 @@
                 assert (await w.ask(b"nonsense\r\n\r\n")).status == 400
             await until(lambda: len(w.node.server.connections) == 2)
 
-    monkeypatch.setattr("coralvale.net.server.LINGER", 60.0)
-    monkeypatch.setattr("coralvale.net.server.LINGERING", 2)
+    monkeypatch.setattr("coralvale.net.server.LINGER_S", 60.0)
+    monkeypatch.setattr("coralvale.net.server.MAX_LINGERING", 2)
     run(test())
 
 
@@ -412,11 +412,11 @@
             (connection,) = w.node.server.connections
             assert connection.transport
             unread = connection.transport.get_write_buffer_size
-            await until(lambda: connection.paused or unread() > 4_000_000)
+            await until(lambda: connection.reading_paused or unread() > 4_000_000)
             assert unread() < 2_000_000
             await until(lambda: not w.node.server.connections)
 
-    monkeypatch.setattr("coralvale.net.server.STUCK", 0.3)
+    monkeypatch.setattr("coralvale.net.server.WRITE_TIMEOUT_S", 0.3)
     run(test())
 
 
@@ -426,7 +426,7 @@
             client, count = await w.client(), 300_000
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             client.send(count * b"GET /up HTTP/1.1\r\n\r\n")
-            await until(lambda: any(c.stuck_at is not None for c in w.node.server.connections))
+            await until(lambda: any(c.write_blocked_since is not None for c in w.node.server.connections))
             client.writer.transport.resume_reading()  # type: ignore[attr-defined]
             seen, end = 0, b""
             while seen < count:
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -17,7 +17,7 @@
 
 from coralvale.interface import Outcome
 from coralvale.net.clock import Clock
-from coralvale.net.upstream import Answer, Attempt, IdleLimit, Upstreams, read_load, read_usage
+from coralvale.net.upstream import Attempt, IdleLimit, Response, Upstreams, parse_load_report, parse_usage
 
 PAYLOAD = b"GET /api HTTP/1.1\r\nX-Request-ID: r1\r\n\r\n"
 
@@ -40,13 +40,13 @@
     upstreams: Upstreams
     clock: TestClock
     host: Peer
-    ended: asyncio.Queue[tuple[Attempt, Outcome, Answer | None]] = field(default_factory=asyncio.Queue)
+    ended: asyncio.Queue[tuple[Attempt, Outcome, Response | None]] = field(default_factory=asyncio.Queue)
 
     def send(
-        self, payload: bytes | None = PAYLOAD, address: tuple[str, int] | None = None, server: str = "s-1"
+        self, payload: bytes | None = PAYLOAD, address: tuple[str, int] | None = None, host_id: str = "s-1"
     ) -> Attempt:
         attempt = Attempt(
-            server, address or self.host.address, lambda: payload, lambda *end: self.ended.put_nowait(end)
+            host_id, address or self.host.address, lambda: payload, lambda *end: self.ended.put_nowait(end)
         )
         self.upstreams.send(attempt)
         return attempt
@@ -103,7 +103,7 @@
                 closed.bind(("127.0.0.1", 0))
                 b.send(address=closed.getsockname())
                 assert await b.outcome() is Outcome.CONNECT_FAILED
-            assert b.upstreams.open == 0
+            assert b.upstreams.open_count == 0
 
     run(test())
 
@@ -120,7 +120,7 @@
                     filler.connect_ex(silent.getsockname())
                 b.send(address=silent.getsockname())
                 assert await b.outcome() is Outcome.CONNECT_FAILED
-                assert b.upstreams.open == 0
+                assert b.upstreams.open_count == 0
                 for filler in fillers:
                     filler.close()
 
@@ -190,7 +190,7 @@
             b.send()
             assert await b.outcome() is Outcome.OK
             (await b.host.next()).close()
-            await until(lambda: b.upstreams.open == 0)
+            await until(lambda: b.upstreams.open_count == 0)
             b.send()
             assert await b.outcome() is Outcome.OK
             assert b.host.connections == 2
@@ -235,7 +235,7 @@
             assert await b.outcome() is Outcome.OK
             assert b.host.connections == 2
             b.clock.ahead = 25.0
-            await until(lambda: b.upstreams.open == 0 and not b.upstreams.pools)
+            await until(lambda: b.upstreams.open_count == 0 and not b.upstreams.pools)
 
     run(test())
 
@@ -261,7 +261,7 @@
         async with bench() as b:
             attempt = b.send()
             late = await b.host.next()
-            b.upstreams.give_up(attempt, Outcome.TIMEOUT)
+            b.upstreams.abort_attempt(attempt, Outcome.TIMEOUT)
             assert await b.outcome() is Outcome.TIMEOUT
             late.reply(answer(body=b"late"))
             b.send()
@@ -281,10 +281,10 @@
             started, go = hold_connects(b.upstreams)
             late = b.send()
             await soon(started.wait())
-            b.upstreams.give_up(late, Outcome.TIMEOUT)
+            b.upstreams.abort_attempt(late, Outcome.TIMEOUT)
             assert await b.outcome() is Outcome.NOT_SENT  # it never ran, whatever it was given up for
             go.set()
-            await until(lambda: any(pool.idle for pool in b.upstreams.pools.values()))
+            await until(lambda: any(pool.idle_connections for pool in b.upstreams.pools.values()))
             assert b.host.arrived.empty()
             b.send()
             assert await b.outcome() is Outcome.OK
@@ -297,7 +297,7 @@
     async def test() -> None:
         async with bench(auto=answer()) as b:
             attempt = b.send()
-            b.upstreams.give_up(attempt, Outcome.TIMEOUT)
+            b.upstreams.abort_attempt(attempt, Outcome.TIMEOUT)
             assert await b.outcome() is Outcome.NOT_SENT
             b.send(payload=None)
             assert await b.outcome() is Outcome.NOT_SENT
@@ -323,7 +323,7 @@
             b.send(address=other.address)
             assert await b.outcome() is Outcome.OK
             assert other.connections == 1
-            await until(lambda: b.upstreams.open == 2)
+            await until(lambda: b.upstreams.open_count == 2)
             other.stop()
 
     run(test())
@@ -333,17 +333,17 @@
     ("text", "usage"), [(b"85", 0.85), (b"0", 0.0), (b"x", None), (b"-1", None), (b"nan", None)]
 )
 def test_usage_is_the_told_percentage(text: bytes, usage: float | None) -> None:
-    assert read_usage(text) == usage
+    assert parse_usage(text) == usage
 
 
 def test_a_load_report_is_read_in_the_settings_order() -> None:
-    assert read_load(b'{"queue":2,"inflight":7}', ("inflight", "queue")) == (7.0, 2.0)
-    assert read_load(b"[]", ("inflight",)) == () and read_load(b"{", ("inflight",)) == ()
+    assert parse_load_report(b'{"queue":2,"inflight":7}', ("inflight", "queue")) == (7.0, 2.0)
+    assert parse_load_report(b"[]", ("inflight",)) == () and parse_load_report(b"{", ("inflight",)) == ()
     huge = b'{"inflight":1%s,"queue":-1}' % (b"0" * 400)
-    assert read_load(huge, ("inflight",)) == ()
-    (queue,) = read_load(b'{"queue":-1}', ("queue",))
+    assert parse_load_report(huge, ("inflight",)) == ()
+    (queue,) = parse_load_report(b'{"queue":-1}', ("queue",))
     assert math.isnan(queue)
-    assert read_load(b"[" * 100_000, ("inflight",)) == ()
+    assert parse_load_report(b"[" * 100_000, ("inflight",)) == ()
 
 
 def test_a_new_host_at_an_old_address_inherits_no_connection() -> None:
@@ -359,9 +359,9 @@
             await until(lambda: b.host.closed == 1)
             two.reply(answer())
             assert await b.outcome() is Outcome.OK and second.ended
-            await until(lambda: b.host.closed == 2 and b.upstreams.open == 0)
-            b.send(server="s-2")
-            b.send(server="s-1")
+            await until(lambda: b.host.closed == 2 and b.upstreams.open_count == 0)
+            b.send(host_id="s-2")
+            b.send(host_id="s-1")
             assert {(await b.host.next()).connection, (await b.host.next()).connection} == {3, 4}
 
     run(test())
@@ -374,16 +374,16 @@
         async with bench() as b:
             b.send()
             arrived = await b.host.next()
-            b.upstreams.most = 1  # so that the next one has to wait
+            b.upstreams.max_connections = 1  # so that the next one has to wait
             pool = next(iter(b.upstreams.pools.values()))
             waits = Attempt("s-1", b.host.address, lambda: PAYLOAD, lambda *end: b.ended.put_nowait(end))
-            pool.waiting.append(waits)
+            pool.waiting_attempts.append(waits)
             arrived.reply(answer(body=b"right"))
             _, outcome, got = await soon(b.ended.get())
             assert outcome is Outcome.OK and got is not None and got.body == b"right"
             assert not waits.connection  # not in the same turn
             arrived.reply(answer(body=b"wrong"))
-            await until(lambda: b.upstreams.open == 0)
+            await until(lambda: b.upstreams.open_count == 0)
             assert not waits.ended
 
     run(test())
@@ -405,7 +405,7 @@
             b.upstreams.loop = SimpleNamespace(call_later=pause, create_task=loop.create_task)  # type: ignore[assignment]
             if waits:
                 pool = next(iter(b.upstreams.pools.values()))
-                pool.waiting.append(
+                pool.waiting_attempts.append(
                     Attempt("s-1", b.host.address, lambda: PAYLOAD, lambda *end: b.ended.put_nowait(end))
                 )
             first.reply(answer(body=b"first"))
@@ -416,7 +416,7 @@
                 if due <= 0.005:
                     step()
             first.reply(answer(body=b"second"))
-            await until(lambda: b.upstreams.open == 0)
+            await until(lambda: b.upstreams.open_count == 0)
             assert b.ended.empty()
             b.upstreams.loop = loop
             for due, step in pauses:
@@ -440,10 +440,10 @@
             b.send()
             (await b.host.next()).reply(answer(Usage_Percent="1"))
             assert await b.outcome() is Outcome.ERROR
-            await until(lambda: b.upstreams.open == 0)
+            await until(lambda: b.upstreams.open_count == 0)
             assert b.ended.empty()
 
-    monkeypatch.setattr("coralvale.net.upstream.read_usage", fail)
+    monkeypatch.setattr("coralvale.net.upstream.parse_usage", fail)
     run(test())
 
 
@@ -452,7 +452,7 @@
 
     async def test() -> None:
         async with bench() as b:
-            b.upstreams.sweep.cancel()  # it forgets by the loop's time
+            b.upstreams.sweep_timer.cancel()  # it forgets by the loop's time
 
             async def ask(after: float) -> int:
                 b.clock.ahead += after
@@ -470,7 +470,7 @@
             assert await ask(0.0) == 2
             assert await ask(0.1) == await ask(0.1) == 2  # younger ones are used on
             assert await ask(3.0) == 3
-            b.upstreams.idle_limit.forget(60.0)
+            b.upstreams.idle_limit.decay(60.0)
             assert await ask(3.0) == 3
 
     run(test())
@@ -479,9 +479,9 @@
 def test_where_all_ages_break_alike_kept_connections_are_used_on() -> None:
     limit = IdleLimit(12.0)
     for number in range(1000):
-        limit.note(0.001 * 2 ** (number % 14), broke=number % 10 == 0)
-    assert limit.now == 12.0
-    limit.forget(100.0)
+        limit.record(0.001 * 2 ** (number % 14), broken=number % 10 == 0)
+    assert limit.current == 12.0
+    limit.decay(100.0)
     for number in range(20):
-        limit.note(0.3, broke=number % 2 == 0)
-    assert 0.1 < limit.now <= 0.3
+        limit.record(0.3, broken=number % 2 == 0)
+    assert 0.1 < limit.current <= 0.3
