--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -1,4 +1,4 @@
-"""The clients' side over sockets: what is taken, what is turned away, connections and their bounds."""
+"""Client connections over sockets: valid and invalid requests, connection limits and timeouts."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from coralvale import interface as api
 from coralvale.net.server import IDLE_TIMEOUT_S, REQUEST_READ_TIMEOUT_S
 
-MOMENT = 0.001  # s by which a time limit is passed
+MARGIN_S = 0.001  # by which a timeout is exceeded
 
 
 def refuse_all(w: World) -> None:
     w.script.on(api.Request, lambda e: [api.Refuse(e.id, 0.25)])
 
 
-def test_a_request_reaches_the_module_as_it_came() -> None:
+def test_a_request_reaches_the_decision_module_with_the_values_of_its_headers() -> None:
     async def test() -> None:
         async with world() as w:
             refuse_all(w)
@@ -80,7 +80,7 @@
         (request(target="/"), 404),
     ],
 )
-def test_what_is_not_in_the_protocols_form_reaches_nobody(data: bytes, status: int) -> None:
+def test_an_invalid_request_is_answered_with_an_error_and_not_handled(data: bytes, status: int) -> None:
     async def test() -> None:
         async with world(entry("s-1", 1)) as w:
             assert (await w.ask(data)).status == status
@@ -145,7 +145,7 @@
     run(test())
 
 
-def test_a_client_that_leaves_is_told_to_the_module_once() -> None:
+def test_a_client_that_disconnects_is_reported_to_the_decision_module_once() -> None:
     async def test() -> None:
         async with world() as w:
             client = await w.client()
@@ -164,7 +164,7 @@
     run(test())
 
 
-def test_a_second_request_under_an_id_in_use_is_turned_away() -> None:
+def test_a_second_request_with_an_id_in_use_is_rejected() -> None:
     async def test() -> None:
         async with world() as w:
             client = await w.client()
@@ -176,7 +176,7 @@
     run(test())
 
 
-def test_the_most_held_is_kept_and_the_surplus_refused_at_once() -> None:
+def test_requests_beyond_the_maximum_of_pending_ones_are_refused_at_once() -> None:
     async def test() -> None:
         async with world(ceilings={"most_held": 2}) as w:
             client = await w.client()
@@ -189,7 +189,7 @@
     run(test())
 
 
-def test_connections_are_bounded_idle_ones_give_way_and_the_surplus_is_refused() -> None:
+def test_at_the_connection_limit_idle_ones_are_closed_for_new_ones_or_requests_refused() -> None:
     async def test() -> None:
         async with world() as w:
             refuse_all(w)
@@ -199,24 +199,24 @@
             await second.ask(request("r2"))
             third = await w.client()
             assert (await third.ask(request("r3"))).status == 503
-            assert await first.at_end()  # it had stood idle the longest
+            assert await first.at_end()  # it was idle for longest
             w.script.on(api.Request, lambda e: [])
             second.send(request("r4"))
             third.send(request("r5"))
             await until(lambda: len(w.node.held) == 2)
-            surplus = await w.client()
-            message = await surplus.ask(request("r6"))
+            overflow = await w.client()
+            message = await overflow.ask(request("r6"))
             assert message.status == 503 and message.headers[b"connection"] == b"close"
-            assert await surplus.at_end() and len(w.node.held) == 2
+            assert await overflow.at_end() and len(w.node.held) == 2
 
     run(test())
 
 
-def test_the_time_that_a_new_connection_waits_for_its_place_is_the_client_s() -> None:
-    """The soak saw a host told of 0.2 s more than its client had left, where idle clients crowded in.
+def test_the_wait_of_a_new_connection_to_be_accepted_counts_against_the_timeout() -> None:
+    """Otherwise a host is told of more time than its client has left, 0.2 s in a run with many idle clients.
 
-    A connection that has to wait in the kernel for its place brings its request along. The request's time
-    counts from its last byte, so what is left of it when it is read is less by up to that wait.
+    A connection that waits in the kernel to be accepted brings its request along. The timeout counts from the
+    request's last byte, so by the time the request is read, up to that wait has to be taken off.
     """
 
     async def test() -> None:
@@ -247,7 +247,7 @@
 
 def test_accepting_goes_on_after_it_has_failed() -> None:
     class Exhausted:
-        """A listening socket on a machine that runs out of descriptors once."""
+        """A listening socket whose first accept fails for lack of descriptors."""
 
         def __init__(self, inner: socket.socket) -> None:
             self.inner, self.failures = inner, 1
@@ -271,7 +271,9 @@
     run(test())
 
 
-def test_idle_clients_and_requests_that_never_come_whole_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_idle_connections_and_those_of_incomplete_requests_are_closed(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def test() -> None:
         async with world() as w:
             refuse_all(w)
@@ -282,19 +284,19 @@
             await until(lambda: sum(c.incoming is not None for c in w.node.server.connections) == 2)
             clock.now += REQUEST_READ_TIMEOUT_S
             w.node.server._sweep()
-            assert len(w.node.server.connections) == 4  # their time is not over yet
+            assert len(w.node.server.connections) == 4  # no timeout has passed yet
             assert not any(c.closing or c.error_status for c in w.node.server.connections)
-            clock.now += MOMENT
-            for client in (slow, body):  # they are told why, as nothing was taken of them
+            clock.now += MARGIN_S
+            for client in (slow, body):  # answered, as their requests were not handled
                 assert (await client.receive()).status == 408
                 assert await client.at_end()
             assert await silent.at_end()
-            assert (await usual.ask(request("r2"))).status == 503  # one that asks is not hurried
+            assert (await usual.ask(request("r2"))).status == 503  # one that sends requests is not closed
             await until(lambda: len(w.node.server.connections) == 1)
             clock.now += IDLE_TIMEOUT_S
             w.node.server._sweep()
             assert [c.closing for c in w.node.server.connections] == [False]
-            clock.now += MOMENT
+            clock.now += MARGIN_S
             assert await usual.at_end()
             assert len(w.script.of(api.Request)) == 2
 
@@ -305,7 +307,9 @@
     run(test())
 
 
-def test_idle_connections_are_closed_sooner_when_room_is_short(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_idle_connections_are_closed_sooner_near_the_connection_limit(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def test() -> None:
         async with world() as w:
             refuse_all(w)
@@ -320,8 +324,8 @@
     run(test())
 
 
-def test_silent_connections_give_way_to_those_that_ask(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Nobody gains by connecting a hundred times and saying nothing."""
+def test_silent_connections_are_closed_for_those_that_send_requests(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A hundred connections that send nothing must not keep out a client with a request."""
 
     async def test() -> None:
         async with world() as w:
@@ -336,8 +340,8 @@
     run(test())
 
 
-def test_a_bad_request_is_the_last_of_its_connection() -> None:
-    """Else the same could come again at full speed; what follows it at once is not looked at."""
+def test_an_invalid_request_is_the_last_of_its_connection() -> None:
+    """Otherwise a client could repeat it at full speed. A request right behind it is ignored."""
 
     async def test() -> None:
         async with world() as w:
@@ -350,7 +354,7 @@
     run(test())
 
 
-def test_what_comes_behind_a_bad_head_is_not_read_and_the_answer_arrives() -> None:
+def test_the_body_behind_an_invalid_head_is_not_read_and_the_response_arrives() -> None:
     async def test() -> None:
         async with world() as w:
             bad = await w.client()
@@ -360,12 +364,12 @@
             assert connection.transport is not None and not connection.transport.is_reading()
             bad.send(b"x" * 1_000_000)
             assert await bad.at_end()
-            await until(lambda: not w.node.server.connections)  # it does not stay for good
+            await until(lambda: not w.node.server.connections)  # the connection is closed in the end
 
     run(test())
 
 
-def test_only_so_many_connections_wait_for_their_last_answer_to_arrive(
+def test_the_number_of_lingering_connections_is_limited(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
@@ -379,7 +383,7 @@
     run(test())
 
 
-def test_up_is_told_once_the_list_is_there(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_up_is_answered_200_once_the_host_list_has_arrived(monkeypatch: pytest.MonkeyPatch) -> None:
     async def up(client: Client) -> int:
         return (await client.ask(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")).status
 
@@ -394,14 +398,14 @@
             await until(lambda: w.node.ready)
             assert await up(client) == 200
 
-    monkeypatch.setattr("coralvale.net.node.READY", 60.0)  # it is the list that makes it ready
+    monkeypatch.setattr("coralvale.net.node.READY", 60.0)  # so only the list makes it ready
     run(test())
 
 
-def test_a_client_that_never_reads_is_read_no_further_and_dropped_in_the_end(
+def test_a_client_that_never_reads_is_no_longer_read_and_finally_disconnected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Though it goes on sending: its unread answers would fill the memory."""
+    """It goes on sending requests: without a limit, the unread responses would fill the memory."""
 
     async def test() -> None:
         async with world() as w:
@@ -420,7 +424,7 @@
     run(test())
 
 
-def test_one_that_reads_late_gets_all_of_its_answers() -> None:
+def test_a_client_that_reads_late_gets_all_of_its_responses() -> None:
     async def test() -> None:
         async with world() as w:
             client, count = await w.client(), 300_000
@@ -431,6 +435,6 @@
             seen, end = 0, b""
             while seen < count:
                 end = end[-8:] + await soon(client.reader.read(1 << 20))
-                seen += end.count(b"HTTP/1.1 ")  # nine bytes, of which eight are kept
+                seen += end.count(b"HTTP/1.1 ")  # nine bytes; the last eight are kept for the next read
 
     run(test())
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -1,4 +1,4 @@
-"""Connections to hosts: outcomes, keeping, reuse, bounds."""
+"""Connections to hosts: outcomes of attempts, reuse of connections, limits."""
 
 from __future__ import annotations
 
@@ -23,20 +23,20 @@
 
 
 class TestClock(Clock):
-    """A clock that a test can put forward."""
+    """A clock that a test can advance."""
 
     __test__ = False
 
     def __init__(self) -> None:
         super().__init__()
-        self.ahead = 0.0
+        self.offset = 0.0
 
     def now(self) -> float:
-        return super().now() + self.ahead
+        return super().now() + self.offset
 
 
 @dataclass
-class Bench:
+class Harness:
     upstreams: Upstreams
     clock: TestClock
     host: Peer
@@ -56,9 +56,11 @@
 
 
 @contextlib.asynccontextmanager
-async def bench(auto: bytes | None = None, most: int = 10, connect: float = 5.0) -> AsyncIterator[Bench]:
+async def harness(
+    auto: bytes | None = None, max_connections: int = 10, connect_timeout: float = 5.0
+) -> AsyncIterator[Harness]:
     host, clock = await Peer(auto).start(), TestClock()
-    yield Bench(Upstreams(clock, connect, 15.0, most), clock, host)
+    yield Harness(Upstreams(clock, connect_timeout, 15.0, max_connections), clock, host)
     host.stop()
 
 
@@ -87,30 +89,32 @@
         (answer(Usage_Percent="1e999", X_Server_Load="[" * 9000), Outcome.OK),
     ],
 )
-def test_an_answer_has_the_outcome_of_the_protocols_table(reply: bytes, outcome: Outcome) -> None:
+def test_a_response_has_the_outcome_that_its_status_headers_and_size_call_for(
+    reply: bytes, outcome: Outcome
+) -> None:
     async def test() -> None:
-        async with bench(auto=reply) as b:
-            b.send()
-            assert await b.outcome() is outcome
+        async with harness(auto=reply) as h:
+            h.send()
+            assert await h.outcome() is outcome
 
     run(test())
 
 
-def test_a_refused_connection_could_not_connect() -> None:
+def test_a_refused_connection_is_a_failed_connect() -> None:
     async def test() -> None:
-        async with bench() as b:
+        async with harness() as h:
             with socket.socket() as closed:
                 closed.bind(("127.0.0.1", 0))
-                b.send(address=closed.getsockname())
-                assert await b.outcome() is Outcome.CONNECT_FAILED
-            assert b.upstreams.open_count == 0
+                h.send(address=closed.getsockname())
+                assert await h.outcome() is Outcome.CONNECT_FAILED
+            assert h.upstreams.open_count == 0
 
     run(test())
 
 
-def test_a_silent_connection_is_given_up_after_the_connect_time_out() -> None:
+def test_an_unanswered_connect_fails_after_the_connect_timeout() -> None:
     async def test() -> None:
-        async with bench(connect=0.05) as b:
+        async with harness(connect_timeout=0.05) as h:
             with socket.socket() as silent:
                 silent.bind(("127.0.0.1", 0))
                 silent.listen(0)
@@ -118,9 +122,9 @@
                 for filler in fillers:
                     filler.setblocking(False)
                     filler.connect_ex(silent.getsockname())
-                b.send(address=silent.getsockname())
-                assert await b.outcome() is Outcome.CONNECT_FAILED
-                assert b.upstreams.open_count == 0
+                h.send(address=silent.getsockname())
+                assert await h.outcome() is Outcome.CONNECT_FAILED
+                assert h.upstreams.open_count == 0
                 for filler in fillers:
                     filler.close()
 
@@ -129,95 +133,95 @@
 
 def test_a_break_after_the_last_byte_is_a_reset_and_nothing_is_sent_again() -> None:
     async def test() -> None:
-        async with bench() as b:
-            b.send()
-            (await b.host.next()).reset()
-            assert await b.outcome() is Outcome.RESET
-            b.send()
-            arrived = await b.host.next()
+        async with harness() as h:
+            h.send()
+            (await h.host.next()).reset()
+            assert await h.outcome() is Outcome.RESET
+            h.send()
+            arrived = await h.host.next()
             arrived.reply(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
             arrived.close()
-            assert await b.outcome() is Outcome.RESET
-            b.send()
-            (await b.host.next()).reply(answer())
-            assert await b.outcome() is Outcome.OK
-            assert b.host.connections == 3 and b.host.arrived.empty()
+            assert await h.outcome() is Outcome.RESET
+            h.send()
+            (await h.host.next()).reply(answer())
+            assert await h.outcome() is Outcome.OK
+            assert h.host.connections == 3 and h.host.arrived.empty()
 
     run(test())
 
 
-def test_a_break_before_the_last_byte_could_not_connect() -> None:
+def test_a_break_before_the_last_byte_is_a_failed_connect() -> None:
     async def test() -> None:
-        async with bench() as b:
+        async with harness() as h:
             with socket.socket() as host:
                 host.bind(("127.0.0.1", 0))
                 host.listen(1)
                 host.setblocking(False)
                 # Far more than the socket buffers hold, so that the end of it stays unwritten.
-                b.send(b"x" * (64 * 1024 * 1024), address=host.getsockname())
+                h.send(b"x" * (64 * 1024 * 1024), address=host.getsockname())
                 connection, _ = await soon(asyncio.get_running_loop().sock_accept(host))
                 assert await soon(asyncio.get_running_loop().sock_recv(connection, 100))
                 connection.close()
-                assert await b.outcome() is Outcome.CONNECT_FAILED
+                assert await h.outcome() is Outcome.CONNECT_FAILED
 
     run(test())
 
 
-def test_connections_are_kept_and_the_newest_is_used_first() -> None:
+def test_connections_are_kept_and_the_last_released_is_reused_first() -> None:
     async def test() -> None:
-        async with bench() as b:
-            b.send()
-            b.send()
-            first, second = await b.host.next(), await b.host.next()
+        async with harness() as h:
+            h.send()
+            h.send()
+            first, second = await h.host.next(), await h.host.next()
             for arrived in (first, second):
                 arrived.reply(answer())
-                assert await b.outcome() is Outcome.OK
+                assert await h.outcome() is Outcome.OK
             for _ in range(3):
-                b.clock.ahead += 1  # they have rested
-                b.send()
-                arrived = await b.host.next()
+                h.clock.offset += 1  # past the reuse delay
+                h.send()
+                arrived = await h.host.next()
                 assert arrived.connection == second.connection
                 arrived.reply(answer())
-                assert await b.outcome() is Outcome.OK
-            assert b.host.connections == 2
+                assert await h.outcome() is Outcome.OK
+            assert h.host.connections == 2
 
     run(test())
 
 
 def test_a_connection_that_the_host_closed_is_not_used_again() -> None:
     async def test() -> None:
-        async with bench(auto=answer()) as b:
-            b.send()
-            assert await b.outcome() is Outcome.OK
-            (await b.host.next()).close()
-            await until(lambda: b.upstreams.open_count == 0)
-            b.send()
-            assert await b.outcome() is Outcome.OK
-            assert b.host.connections == 2
-        async with bench(auto=answer(Connection="close")) as b:
+        async with harness(auto=answer()) as h:
+            h.send()
+            assert await h.outcome() is Outcome.OK
+            (await h.host.next()).close()
+            await until(lambda: h.upstreams.open_count == 0)
+            h.send()
+            assert await h.outcome() is Outcome.OK
+            assert h.host.connections == 2
+        async with harness(auto=answer(Connection="close")) as h:
             for _ in range(2):
-                b.send()
-                assert await b.outcome() is Outcome.OK
-            assert b.host.connections == 2
+                h.send()
+                assert await h.outcome() is Outcome.OK
+            assert h.host.connections == 2
 
     run(test())
 
 
-def test_an_end_that_the_loop_has_not_told_of_yet_is_seen_before_reuse() -> None:
+def test_a_close_that_the_loop_has_not_read_yet_is_noticed_before_reuse() -> None:
     async def test() -> None:
-        async with bench() as b:
+        async with harness() as h:
             with socket.socket() as host:
                 host.bind(("127.0.0.1", 0))
                 host.listen(2)
                 host.setblocking(False)
                 loop = asyncio.get_running_loop()
-                b.send(address=host.getsockname())
+                h.send(address=host.getsockname())
                 first, _ = await soon(loop.sock_accept(host))
                 await soon(loop.sock_recv(first, 1000))
                 await soon(loop.sock_sendall(first, answer()))
-                assert await b.outcome() is Outcome.OK
+                assert await h.outcome() is Outcome.OK
                 first.close()
-                b.send(address=host.getsockname())  # at once: the loop has had no turn to read the end
+                h.send(address=host.getsockname())  # at once: the loop has not yet read that the host closed
                 second, _ = await soon(loop.sock_accept(host))
                 assert await soon(loop.sock_recv(second, 1000)) == PAYLOAD
                 second.close()
@@ -225,105 +229,105 @@
     run(test())
 
 
-def test_idle_connections_are_closed_before_the_hosts_limit() -> None:
+def test_idle_connections_are_closed_before_the_idle_timeout_of_the_hosts() -> None:
     async def test() -> None:
-        async with bench(auto=answer()) as b:
-            b.send()
-            assert await b.outcome() is Outcome.OK
-            b.clock.ahead = 12.5  # of the 15 s that the host allows
-            b.send()
-            assert await b.outcome() is Outcome.OK
-            assert b.host.connections == 2
-            b.clock.ahead = 25.0
-            await until(lambda: b.upstreams.open_count == 0 and not b.upstreams.pools)
+        async with harness(auto=answer()) as h:
+            h.send()
+            assert await h.outcome() is Outcome.OK
+            h.clock.offset = 12.5  # of the 15 s that hosts keep idle connections
+            h.send()
+            assert await h.outcome() is Outcome.OK
+            assert h.host.connections == 2
+            h.clock.offset = 25.0
+            await until(lambda: h.upstreams.open_count == 0 and not h.upstreams.pools)
 
     run(test())
 
 
-def test_a_second_answer_is_not_taken_for_the_next_request() -> None:
+def test_a_second_response_is_not_taken_for_the_one_to_the_next_request() -> None:
     async def test() -> None:
-        async with bench() as b:
-            b.send()
-            (await b.host.next()).reply(answer(body=b"own") + answer(500, body=b"nobody's"))
-            _, outcome, own = await soon(b.ended.get())
+        async with harness() as h:
+            h.send()
+            (await h.host.next()).reply(answer(body=b"own") + answer(500, body=b"nobody's"))
+            _, outcome, own = await soon(h.ended.get())
             assert outcome is Outcome.OK and own is not None and own.body == b"own"
-            b.send()
-            arrived = await b.host.next()
+            h.send()
+            arrived = await h.host.next()
             assert arrived.connection == 2
             arrived.reply(answer())
-            assert await b.outcome() is Outcome.OK
+            assert await h.outcome() is Outcome.OK
 
     run(test())
 
 
-def test_an_attempt_given_up_closes_its_connection() -> None:
+def test_an_aborted_attempt_closes_its_connection() -> None:
     async def test() -> None:
-        async with bench() as b:
-            attempt = b.send()
-            late = await b.host.next()
-            b.upstreams.abort_attempt(attempt, Outcome.TIMEOUT)
-            assert await b.outcome() is Outcome.TIMEOUT
+        async with harness() as h:
+            attempt = h.send()
+            late = await h.host.next()
+            h.upstreams.abort_attempt(attempt, Outcome.TIMEOUT)
+            assert await h.outcome() is Outcome.TIMEOUT
             late.reply(answer(body=b"late"))
-            b.send()
-            arrived = await b.host.next()
+            h.send()
+            arrived = await h.host.next()
             assert arrived.connection == 2
             arrived.reply(answer(body=b"own"))
-            _, outcome, own = await soon(b.ended.get())
+            _, outcome, own = await soon(h.ended.get())
             assert outcome is Outcome.OK and own is not None and own.body == b"own"
-            assert b.ended.empty()
+            assert h.ended.empty()
 
     run(test())
 
 
-def test_a_connection_that_comes_up_after_its_attempt_was_given_up_serves_the_next() -> None:
+def test_a_connection_established_after_its_attempt_was_aborted_serves_the_next() -> None:
     async def test() -> None:
-        async with bench(answer()) as b:
-            started, go = hold_connects(b.upstreams)
-            late = b.send()
+        async with harness(answer()) as h:
+            started, go = hold_connects(h.upstreams)
+            late = h.send()
             await soon(started.wait())
-            b.upstreams.abort_attempt(late, Outcome.TIMEOUT)
-            assert await b.outcome() is Outcome.NOT_SENT  # it never ran, whatever it was given up for
+            h.upstreams.abort_attempt(late, Outcome.TIMEOUT)
+            assert await h.outcome() is Outcome.NOT_SENT  # it never ran, whatever it was aborted for
             go.set()
-            await until(lambda: any(pool.idle_connections for pool in b.upstreams.pools.values()))
-            assert b.host.arrived.empty()
-            b.send()
-            assert await b.outcome() is Outcome.OK
-            assert b.host.connections == 1 and b.host.arrived.qsize() == 1
+            await until(lambda: any(pool.idle_connections for pool in h.upstreams.pools.values()))
+            assert h.host.arrived.empty()
+            h.send()
+            assert await h.outcome() is Outcome.OK
+            assert h.host.connections == 1 and h.host.arrived.qsize() == 1
 
     run(test())
 
 
-def test_what_became_pointless_while_connecting_is_not_written() -> None:
+def test_an_attempt_that_became_pointless_while_connecting_is_not_written() -> None:
     async def test() -> None:
-        async with bench(auto=answer()) as b:
-            attempt = b.send()
-            b.upstreams.abort_attempt(attempt, Outcome.TIMEOUT)
-            assert await b.outcome() is Outcome.NOT_SENT
-            b.send(payload=None)
-            assert await b.outcome() is Outcome.NOT_SENT
-            b.send()
-            assert await b.outcome() is Outcome.OK
-            assert b.host.arrived.qsize() == 1 and b.ended.empty()
+        async with harness(auto=answer()) as h:
+            attempt = h.send()
+            h.upstreams.abort_attempt(attempt, Outcome.TIMEOUT)
+            assert await h.outcome() is Outcome.NOT_SENT
+            h.send(payload=None)
+            assert await h.outcome() is Outcome.NOT_SENT
+            h.send()
+            assert await h.outcome() is Outcome.OK
+            assert h.host.arrived.qsize() == 1 and h.ended.empty()
 
     run(test())
 
 
-def test_the_bound_holds_and_idle_connections_give_way() -> None:
+def test_the_connection_limit_holds_and_idle_connections_make_room() -> None:
     async def test() -> None:
-        async with bench(most=2) as b:
+        async with harness(max_connections=2) as h:
             other = await Peer(answer()).start()
-            b.send()
-            b.send()
-            first = await b.host.next()
-            await b.host.next()
-            b.send(address=other.address)
-            assert await b.outcome() is Outcome.NOT_SENT
+            h.send()
+            h.send()
+            first = await h.host.next()
+            await h.host.next()
+            h.send(address=other.address)
+            assert await h.outcome() is Outcome.NOT_SENT
             first.reply(answer())
-            assert await b.outcome() is Outcome.OK
-            b.send(address=other.address)
-            assert await b.outcome() is Outcome.OK
+            assert await h.outcome() is Outcome.OK
+            h.send(address=other.address)
+            assert await h.outcome() is Outcome.OK
             assert other.connections == 1
-            await until(lambda: b.upstreams.open_count == 2)
+            await until(lambda: h.upstreams.open_count == 2)
             other.stop()
 
     run(test())
@@ -332,7 +336,7 @@
 @pytest.mark.parametrize(
     ("text", "usage"), [(b"85", 0.85), (b"0", 0.0), (b"x", None), (b"-1", None), (b"nan", None)]
 )
-def test_usage_is_the_told_percentage(text: bytes, usage: float | None) -> None:
+def test_usage_is_read_from_the_reported_percentage(text: bytes, usage: float | None) -> None:
     assert parse_usage(text) == usage
 
 
@@ -346,137 +350,139 @@
     assert parse_load_report(b"[" * 100_000, ("inflight",)) == ()
 
 
-def test_a_new_host_at_an_old_address_inherits_no_connection() -> None:
-    """Idle or busy when the old one went: what the old host still sends must reach nobody's request."""
+def test_a_new_host_at_an_old_address_gets_no_connection_of_the_old_host() -> None:
+    """Whether idle or busy when the old host went: what that still sends must not reach another request."""
 
     async def test() -> None:
-        async with bench() as b:
-            first, second = b.send(), b.send()
-            one, two = await b.host.next(), await b.host.next()
+        async with harness() as h:
+            first, second = h.send(), h.send()
+            one, two = await h.host.next(), await h.host.next()
             one.reply(answer())
-            assert await b.outcome() is Outcome.OK
-            b.upstreams.retire(first.place)  # one connection is idle, one busy
-            await until(lambda: b.host.closed == 1)
+            assert await h.outcome() is Outcome.OK
+            h.upstreams.retire(first.place)  # one connection is idle, one busy
+            await until(lambda: h.host.closed == 1)
             two.reply(answer())
-            assert await b.outcome() is Outcome.OK and second.ended
-            await until(lambda: b.host.closed == 2 and b.upstreams.open_count == 0)
-            b.send(host_id="s-2")
-            b.send(host_id="s-1")
-            assert {(await b.host.next()).connection, (await b.host.next()).connection} == {3, 4}
+            assert await h.outcome() is Outcome.OK and second.ended
+            await until(lambda: h.host.closed == 2 and h.upstreams.open_count == 0)
+            h.send(host_id="s-2")
+            h.send(host_id="s-1")
+            assert {(await h.host.next()).connection, (await h.host.next()).connection} == {3, 4}
 
     run(test())
 
 
-def test_what_comes_right_behind_an_answer_is_not_the_next_ones_answer() -> None:
-    """An attempt that waits does not take the connection in the turn of the answer."""
+def test_data_right_behind_a_response_is_not_taken_for_the_next_response() -> None:
+    """A waiting attempt must not take the connection in the same turn of the loop as the response."""
 
     async def test() -> None:
-        async with bench() as b:
-            b.send()
-            arrived = await b.host.next()
-            b.upstreams.max_connections = 1  # so that the next one has to wait
-            pool = next(iter(b.upstreams.pools.values()))
-            waits = Attempt("s-1", b.host.address, lambda: PAYLOAD, lambda *end: b.ended.put_nowait(end))
-            pool.waiting_attempts.append(waits)
+        async with harness() as h:
+            h.send()
+            arrived = await h.host.next()
+            h.upstreams.max_connections = 1  # so that the next attempt has to wait
+            pool = next(iter(h.upstreams.pools.values()))
+            waiting = Attempt("s-1", h.host.address, lambda: PAYLOAD, lambda *end: h.ended.put_nowait(end))
+            pool.waiting_attempts.append(waiting)
             arrived.reply(answer(body=b"right"))
-            _, outcome, got = await soon(b.ended.get())
+            _, outcome, got = await soon(h.ended.get())
             assert outcome is Outcome.OK and got is not None and got.body == b"right"
-            assert not waits.connection  # not in the same turn
+            assert not waiting.connection  # not in the same turn of the loop
             arrived.reply(answer(body=b"wrong"))
-            await until(lambda: b.upstreams.open_count == 0)
-            assert not waits.ended
+            await until(lambda: h.upstreams.open_count == 0)
+            assert not waiting.ended
 
     run(test())
 
 
-@pytest.mark.parametrize("waits", [False, True])
-def test_a_second_answer_some_milliseconds_later_finds_no_request_on_its_connection(waits: bool) -> None:
-    """Whether the next request comes then or has waited: its connection is another, or has rested."""
+@pytest.mark.parametrize("attempt_waits", [False, True])
+def test_a_second_response_some_milliseconds_later_finds_no_request_on_its_connection(
+    attempt_waits: bool,
+) -> None:
+    """The next request, new or already waiting, takes another connection or one past its reuse delay."""
 
     async def test() -> None:
-        async with bench() as b:
-            b.send()
-            first, pauses = await b.host.next(), list[tuple[float, Callable[[], None]]]()
-            loop = b.upstreams.loop
+        async with harness() as h:
+            h.send()
+            first, timers = await h.host.next(), list[tuple[float, Callable[[], None]]]()
+            loop = h.upstreams.loop
 
-            def pause(due: float, step: Callable[..., None], *args: Any) -> None:
-                pauses.append((due, partial(step, *args)))
+            def record_timer(delay: float, callback: Callable[..., None], *args: Any) -> None:
+                timers.append((delay, partial(callback, *args)))
 
-            b.upstreams.loop = SimpleNamespace(call_later=pause, create_task=loop.create_task)  # type: ignore[assignment]
-            if waits:
-                pool = next(iter(b.upstreams.pools.values()))
+            h.upstreams.loop = SimpleNamespace(call_later=record_timer, create_task=loop.create_task)  # type: ignore[assignment]
+            if attempt_waits:
+                pool = next(iter(h.upstreams.pools.values()))
                 pool.waiting_attempts.append(
-                    Attempt("s-1", b.host.address, lambda: PAYLOAD, lambda *end: b.ended.put_nowait(end))
+                    Attempt("s-1", h.host.address, lambda: PAYLOAD, lambda *end: h.ended.put_nowait(end))
                 )
             first.reply(answer(body=b"first"))
-            await soon(b.ended.get())
-            if not waits:
-                b.send()
-            for due, step in pauses:
-                if due <= 0.005:
-                    step()
+            await soon(h.ended.get())
+            if not attempt_waits:
+                h.send()
+            for delay, callback in timers:
+                if delay <= 0.005:
+                    callback()
             first.reply(answer(body=b"second"))
-            await until(lambda: b.upstreams.open_count == 0)
-            assert b.ended.empty()
-            b.upstreams.loop = loop
-            for due, step in pauses:
-                if due > 0.005:
-                    step()
-            if not waits:
-                other = await b.host.next()
+            await until(lambda: h.upstreams.open_count == 0)
+            assert h.ended.empty()
+            h.upstreams.loop = loop
+            for delay, callback in timers:
+                if delay > 0.005:
+                    callback()
+            if not attempt_waits:
+                other = await h.host.next()
                 other.reply(answer(body=b"own"))
-                _, outcome, got = await soon(b.ended.get())
+                _, outcome, got = await soon(h.ended.get())
                 assert outcome is Outcome.OK and got is not None and got.body == b"own"
 
     run(test())
 
 
-def test_an_answer_whose_reading_fails_ends_its_attempt_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_failure_to_read_a_response_ends_its_attempt_once(monkeypatch: pytest.MonkeyPatch) -> None:
     def fail(value: bytes) -> float:
         raise MemoryError
 
     async def test() -> None:
-        async with bench() as b:
-            b.send()
-            (await b.host.next()).reply(answer(Usage_Percent="1"))
-            assert await b.outcome() is Outcome.ERROR
-            await until(lambda: b.upstreams.open_count == 0)
-            assert b.ended.empty()
+        async with harness() as h:
+            h.send()
+            (await h.host.next()).reply(answer(Usage_Percent="1"))
+            assert await h.outcome() is Outcome.ERROR
+            await until(lambda: h.upstreams.open_count == 0)
+            assert h.ended.empty()
 
     monkeypatch.setattr("coralvale.net.upstream.parse_usage", fail)
     run(test())
 
 
-def test_the_age_at_which_kept_connections_break_is_learned_and_forgotten() -> None:
-    """A host drops connections that stand idle without a word, and resets what is then written to them."""
+def test_the_idle_time_at_which_connections_break_is_learned_and_forgotten() -> None:
+    """A host silently drops idle connections, and resets them once something is written."""
 
     async def test() -> None:
-        async with bench() as b:
-            b.upstreams.sweep_timer.cancel()  # it forgets by the loop's time
+        async with harness() as h:
+            h.upstreams.sweep_timer.cancel()  # it decays the losses by the loop's time
 
             async def ask(after: float) -> int:
-                b.clock.ahead += after
-                b.send()
-                arrived = await b.host.next()
+                h.clock.offset += after
+                h.send()
+                arrived = await h.host.next()
                 arrived.reply(answer())
-                assert await b.outcome() is Outcome.OK
+                assert await h.outcome() is Outcome.OK
                 return arrived.connection
 
             assert [await ask(after) for after in (0.0, 0.1, 0.1, 2.0)] == [1] * 4
-            b.clock.ahead += 3.0
-            b.send()
-            (await b.host.next()).reset()
-            assert await b.outcome() is Outcome.RESET
+            h.clock.offset += 3.0
+            h.send()
+            (await h.host.next()).reset()
+            assert await h.outcome() is Outcome.RESET
             assert await ask(0.0) == 2
-            assert await ask(0.1) == await ask(0.1) == 2  # younger ones are used on
+            assert await ask(0.1) == await ask(0.1) == 2  # those idle for less are still reused
             assert await ask(3.0) == 3
-            b.upstreams.idle_limit.decay(60.0)
+            h.upstreams.idle_limit.decay(60.0)
             assert await ask(3.0) == 3
 
     run(test())
 
 
-def test_where_all_ages_break_alike_kept_connections_are_used_on() -> None:
+def test_a_low_rate_of_breaks_at_all_idle_times_does_not_lower_the_idle_limit() -> None:
     limit = IdleLimit(12.0)
     for number in range(1000):
         limit.record(0.001 * 2 ** (number % 14), broken=number % 10 == 0)
