--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -213,7 +213,7 @@
 
 
 def test_the_wait_of_a_new_connection_to_be_accepted_counts_against_the_timeout() -> None:
-    """Otherwise a host is told of more time than its client has left, 0.2 s in a run with many idle clients.
+    """Otherwise hosts are told of more time than the client has left (0.2 s more in a run with idle clients).
 
     A connection that waits in the kernel to be accepted brings its request along. The timeout counts from the
     request's last byte, so by the time the request is read, up to that wait has to be taken off.
