--- a/coralvale/net/upstream.py
+++ b/coralvale/net/upstream.py
@@ -21,7 +21,7 @@
 
 from coralvale.interface import Outcome
 from coralvale.net.clock import Clock
-from coralvale.net.config import Address, Place
+from coralvale.net.config import Address, HostInstance
 
 MAX_BODY_BYTES = 64 * 1024  # of a response
 MAX_HEAD_BYTES = 64 * 1024  # of a response before its body, with its interim responses
@@ -76,7 +76,7 @@
     connection_broken: bool = False  # the connection was established and then broke
 
     @property
-    def place(self) -> Place:
+    def host_instance(self) -> HostInstance:
         return self.host, self.host_started_at, self.address
 
     def end(self, outcome: Outcome, response: Response | None = None) -> None:
@@ -393,7 +393,7 @@
         self.idle_limit = IdleLimit(idle_timeout * IDLE_TIMEOUT_SHARE)
         self.load_report_fields = load_report_fields
         self.open_count = 0  # connections open or being opened
-        self.pools: dict[Place, Pool] = {}
+        self.pools: dict[HostInstance, Pool] = {}
         self.tasks: set[asyncio.Task[None]] = set()
         self.connections: set[HostConnection] = set()
         self.loop = asyncio.get_running_loop()
@@ -401,9 +401,9 @@
 
     def send(self, attempt: Attempt) -> None:
         # Not by address alone: a new host there must not get connections, or late responses, of the old one.
-        pool = self.pools.get(attempt.place)
+        pool = self.pools.get(attempt.host_instance)
         if pool is None:
-            pool = self.pools[attempt.place] = Pool(self, attempt.address)
+            pool = self.pools[attempt.host_instance] = Pool(self, attempt.address)
         pool.send(attempt)
 
     def abort_attempt(self, attempt: Attempt, outcome: Outcome) -> None:
@@ -412,7 +412,7 @@
         if connection is None:
             if (
                 not attempt.ended
-                and (pool := self.pools.get(attempt.place))
+                and (pool := self.pools.get(attempt.host_instance))
                 and attempt in pool.waiting_attempts
             ):
                 pool.waiting_attempts.remove(attempt)
@@ -462,9 +462,9 @@
                 return
         pool.release(connection)
 
-    def retire(self, place: Place) -> None:
+    def retire(self, instance: HostInstance) -> None:
         """The host drains, has gone, restarted or moved: its attempts go on, but no connection is kept."""
-        if pool := self.pools.pop(place, None):
+        if pool := self.pools.pop(instance, None):
             pool.retire()
 
     def close(self) -> None:
@@ -478,13 +478,13 @@
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         self.idle_limit.decay(SWEEP_INTERVAL_S)
         now = self.clock.now()
-        for place, pool in list(self.pools.items()):
+        for instance, pool in list(self.pools.items()):
             while (
                 pool.idle_connections and now - pool.idle_connections[0].idle_since >= self.idle_limit.current
             ):
                 pool.idle_connections[0].close()
             if not pool.open_count:
-                del self.pools[place]  # else pools of hosts that have gone would pile up
+                del self.pools[instance]  # else pools of hosts that have gone would pile up
 
 
 def parse_usage(value: bytes) -> float | None:
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -16,10 +16,10 @@
 import pytest
 from net_helpers import (
     SETTINGS,
+    ManualClock,
     Peer,
     Registry,
-    StillClock,
-    World,
+    RunningGateway,
     answer,
     chunk,
     entry,
@@ -27,10 +27,10 @@
     line,
     request,
     run,
-    run_jumping,
-    soon,
+    run_in_fake_time,
+    running_gateway,
     until,
-    world,
+    with_timeout,
 )
 
 from coralvale import interface as api
@@ -41,7 +41,7 @@
 from coralvale.net.upstream import REUSE_DELAY_S, Attempt
 
 
-def send_all(w: World, *servers: str, until_in: float = 60.0) -> None:
+def send_all(w: RunningGateway, *servers: str, until_in: float = 60.0) -> None:
     """First and further attempts go to `servers` in turn; after the last the request fails."""
     left = list(servers)
 
@@ -56,7 +56,7 @@
 def test_a_request_goes_on_and_the_answer_comes_back_unchanged(cls: str, method: bytes) -> None:
     async def test() -> None:
         host = await Peer().start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             send_all(w, "s-1")
             client = await w.client()
             body = os.urandom(60_000) if cls == "write" else b""
@@ -71,7 +71,7 @@
             message = await client.receive()
             assert message.status == 200 and message.body == reply
             assert message.headers[b"content-type"] == b"a/b" and b"usage-percent" not in message.headers
-            done = await w.done()
+            done = await w.attempt_done()
             assert (done.attempt, done.outcome, done.request_done, done.usage) == (0, Outcome.OK, True, 0.85)
             assert not w.node.held
         host.stop()
@@ -82,16 +82,16 @@
 def test_the_module_decides_on_each_further_attempt() -> None:
     async def test() -> None:
         host = await Peer().start()
-        async with world(entry("s-1", host.port), entry("s-2", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port), entry("s-2", host.port)) as w:
             send_all(w, "s-1", "s-2", "unknown")
             client = await w.client()
             client.send(request())
             (await host.next()).reply(answer(503, X_Not_Processed="1"))
             (await host.next()).reset()
             assert (await client.receive()).status == 502
-            done = await w.done(3)
-            assert [d.attempt for d in w.script.of(api.AttemptDone)] == [0, 1, 2]
-            outcomes = [d.outcome for d in w.script.of(api.AttemptDone)]
+            done = await w.attempt_done(3)
+            assert [d.attempt for d in w.script.received(api.AttemptDone)] == [0, 1, 2]
+            outcomes = [d.outcome for d in w.script.received(api.AttemptDone)]
             assert outcomes == [Outcome.FULL, Outcome.RESET, Outcome.NOT_SENT]
             assert not done.request_done and not w.node.held
         host.stop()
@@ -102,13 +102,13 @@
 def test_an_attempt_ends_at_its_time_and_the_request_at_the_clients() -> None:
     async def test() -> None:
         host = await Peer().start()
-        async with world(entry("s-1", host.port), entry("s-2", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port), entry("s-2", host.port)) as w:
             send_all(w, "s-1", "s-2", until_in=0.05)
             assert (await w.ask(request())).status == 504
-            assert [d.outcome for d in w.script.of(api.AttemptDone)] == [Outcome.TIMEOUT] * 2
+            assert [d.outcome for d in w.script.received(api.AttemptDone)] == [Outcome.TIMEOUT] * 2
             send_all(w, "s-1")
             assert (await w.ask(request("r2", X_Timeout="0.1"))).status == 504
-            assert (await w.done(3)).outcome is Outcome.TIMEOUT
+            assert (await w.attempt_done(3)).outcome is Outcome.TIMEOUT
             await until(lambda: not w.node.held)
         host.stop()
 
@@ -117,9 +117,11 @@
 
 def test_a_module_that_says_nothing_loses_no_request() -> None:
     async def test() -> None:
-        async with world() as w:
+        async with running_gateway() as w:
             message = await w.ask(request(X_Timeout="0.1"))
-            assert message.status == 503 and w.script.of(api.RequestAbandoned) == [api.RequestAbandoned("r1")]
+            assert message.status == 503 and w.script.received(api.RequestAbandoned) == [
+                api.RequestAbandoned("r1")
+            ]
             w.script.on(api.Request, lambda e: [api.Refuse(e.id, 0.1), api.Fail(e.id), api.Refuse(e.id)])
             client = await w.client()
             assert (await client.ask(request("r2"))).headers[b"retry-after"] == b"0.100"
@@ -131,16 +133,16 @@
 def test_an_attempt_has_one_outcome_after_the_client_left_too() -> None:
     async def test() -> None:
         host = await Peer().start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             send_all(w, "s-1")
             client = await w.client()
             client.send(request())
             arrived = await host.next()
             client.close()
-            await until(lambda: w.script.of(api.RequestAbandoned))
-            assert w.node.held and not w.script.of(api.AttemptDone)
+            await until(lambda: w.script.received(api.RequestAbandoned))
+            assert w.node.held and not w.script.received(api.AttemptDone)
             arrived.reply(answer())
-            done = await w.done()
+            done = await w.attempt_done()
             assert done.outcome is Outcome.OK and done.request_done and not w.node.held
         host.stop()
 
@@ -150,7 +152,7 @@
 def test_a_cancelled_attempt_is_closed_and_told_once() -> None:
     async def test() -> None:
         host = await Peer().start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             send_all(w, "s-1")
             client = await w.client()
             client.send(request())
@@ -158,7 +160,7 @@
             for _ in range(2):
                 w.node.actions[api.Cancel](api.Cancel("r1", 0))
             assert (await client.receive()).status == 502
-            assert [d.outcome for d in w.script.of(api.AttemptDone)] == [Outcome.CANCELLED]
+            assert [d.outcome for d in w.script.received(api.AttemptDone)] == [Outcome.CANCELLED]
             await until(lambda: host.closed == 1)
         host.stop()
 
@@ -170,17 +172,17 @@
     async def test() -> None:
         host = await Peer(answer()).start()
         known = entry("s-1", host.port)
-        async with world(known) as w:
+        async with running_gateway(known) as w:
             send_all(w, "s-1")
             watch = await w.registry.watch()
             started, go = hold_connects(w.node.upstreams)
             client = await w.client()
             client.send(request())
-            await soon(started.wait())
-            seen = len(w.script.of(api.HostList))
+            await with_timeout(started.wait())
+            seen = len(w.script.received(api.HostList))
             if change == "client":
                 client.close()
-                await until(lambda: w.script.of(api.RequestAbandoned))
+                await until(lambda: w.script.received(api.RequestAbandoned))
             elif change != "none":
                 more = {
                     "left": {"status": "left"},
@@ -189,9 +191,9 @@
                     "moved": {"address": "127.0.0.1:1"},
                 }[change]
                 watch.reply(chunk(line(42, {**known, **more})))
-                await until(lambda: len(w.script.of(api.HostList)) > seen)
+                await until(lambda: len(w.script.received(api.HostList)) > seen)
             go.set()
-            done = await w.done()
+            done = await w.attempt_done()
             if change == "none":
                 assert done.outcome is Outcome.OK and host.arrived.qsize() == 1
             else:
@@ -207,7 +209,7 @@
 
     async def test() -> None:
         host, first = await Peer(answer()).start(), await Peer().start()
-        async with world(entry("s-1", host.port), entry("s-2", first.port)) as w:
+        async with running_gateway(entry("s-1", host.port), entry("s-2", first.port)) as w:
             send_all(w, "s-1", *["s-2"] * (attempt == "further"), "s-1")
             await w.ask(request("warm"))
             pool = next(iter(w.node.upstreams.pools.values()))
@@ -221,8 +223,8 @@
                     arrived = await first.next()
                     descriptor = arrived.writer.get_extra_info("socket").fileno()
                     os.write(descriptor, answer(503, X_Not_Processed="1"))
-            await until(lambda: w.script.of(api.RequestAbandoned) and not w.node.held)
-            assert w.script.of(api.AttemptDone)[-1].outcome is Outcome.NOT_SENT
+            await until(lambda: w.script.received(api.RequestAbandoned) and not w.node.held)
+            assert w.script.received(api.AttemptDone)[-1].outcome is Outcome.NOT_SENT
             assert host.arrived.qsize() == 1  # the one before
         host.stop()
         first.stop()
@@ -236,7 +238,7 @@
 
     async def test() -> None:
         host = await Peer(answer()).start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             _, go = hold_connects(w.node.upstreams)
             if waits == "for a connection":
                 w.script.on(api.Request, lambda e: [api.Send(e.id, "s-1", 0.0)])
@@ -247,11 +249,12 @@
                 client.sendall(request("unread"))
             if waits == "for a connection":
                 go.set()
-                await w.done(MAX_PIPELINED_REQUESTS)
-                assert {e.outcome for e in w.script.of(api.AttemptDone)} == {Outcome.NOT_SENT}
+                await w.attempt_done(MAX_PIPELINED_REQUESTS)
+                assert {e.outcome for e in w.script.received(api.AttemptDone)} == {Outcome.NOT_SENT}
                 assert host.arrived.empty()
             await until(
-                lambda: len(w.script.of(api.RequestAbandoned)) == MAX_PIPELINED_REQUESTS and not w.node.held
+                lambda: len(w.script.received(api.RequestAbandoned)) == MAX_PIPELINED_REQUESTS
+                and not w.node.held
             )
         host.stop()
 
@@ -267,7 +270,7 @@
 
     async def test() -> None:
         host = await Peer().start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             client = await w.client()
             w.script.on(api.Request, fail)
             assert (await client.ask(request("r1", "write"))).status == 503  # nothing was sent: no harm
@@ -284,7 +287,7 @@
             assert not w.node.held
             w.script.on(api.TimerFired, fail)
             w.node.actions[api.SetTimer](api.SetTimer(0, 0.01))
-            await until(lambda: len(w.script.of(api.TimerFired)) >= 3)
+            await until(lambda: len(w.script.received(api.TimerFired)) >= 3)
         host.stop()
 
     run(test())
@@ -294,7 +297,7 @@
 def test_a_finished_request_leaves_nothing_behind() -> None:
     async def test() -> None:
         host = await Peer(answer()).start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             send_all(w, *["s-1"] * 20)
             client = await w.client()
             assert (await client.ask(request("r0"))).status == 200
@@ -303,7 +306,7 @@
             try:
                 for i in range(1, 20):
                     assert (await client.ask(request(f"r{i}"))).status == 200
-                await w.done(20)
+                await w.attempt_done(20)
                 left = [o for o in gc.get_objects() if isinstance(o, PendingRequest | Attempt | Exchange)]
             finally:
                 gc.enable()
@@ -316,18 +319,18 @@
 def test_probes_and_counts_are_answered() -> None:
     async def test() -> None:
         host = await Peer(answer()).start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             w.script.on(
                 api.Request, lambda e: [api.Probe("s-1"), api.Probe("none"), api.CounterAdd(5, 2.0, 1.0)]
             )
             (await w.client()).send(request())
             assert (await host.next()).message.first == b"GET /alive HTTP/1.1"
-            await until(lambda: len(w.script.of(api.ProbeDone)) == 2)
-            assert {p.outcome for p in w.script.of(api.ProbeDone)} == {Outcome.OK, Outcome.NOT_SENT}
+            await until(lambda: len(w.script.received(api.ProbeDone)) == 2)
+            assert {p.outcome for p in w.script.received(api.ProbeDone)} == {Outcome.OK, Outcome.NOT_SENT}
             call = await w.counter.next()
             assert call.message.first == b"POST /tally/5?n=2.000000&keep_ms=1000 HTTP/1.1"
             call.reply(answer(body=b"7"))
-            await until(lambda: w.script.of(api.CounterReply) == [api.CounterReply(5, True, 7.0)])
+            await until(lambda: w.script.received(api.CounterReply) == [api.CounterReply(5, True, 7.0)])
         host.stop()
 
     run(test())
@@ -336,7 +339,9 @@
 def test_the_inherited_module_serves_over_sockets() -> None:
     async def test() -> None:
         hosts = [await Peer(answer(body=b"served")).start() for _ in range(3)]
-        async with world(*(entry(f"s-{i}", h.port) for i, h in enumerate(hosts)), real=True) as w:
+        async with running_gateway(
+            *(entry(f"s-{i}", h.port) for i, h in enumerate(hosts)), real_module=True
+        ) as w:
             client = await w.client()
             for i in range(50):
                 assert (await client.ask(request(f"r{i}", "write", body=b"x"))).body == b"served"
@@ -356,7 +361,7 @@
 def test_after_sigterm_all_that_was_taken_is_answered() -> None:
     async def test() -> None:
         host = await Peer().start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             send_all(w, "s-1", "s-1", "s-1")
             idle, busy = await w.client(), await w.client()
             busy.send(request("r1"))
@@ -368,15 +373,15 @@
             late.send(request("r2"))
             second = await host.next()
             kill = w.node.clock.now() + 3 + 0.7  # no sooner, by PROTOCOL
-            assert w.script.of(api.Request)[1].expires_at < kill - 0.25
-            assert await idle.at_end()
+            assert w.script.received(api.Request)[1].expires_at < kill - 0.25
+            assert await idle.closed_by_gateway()
             assert not w.node.stopped.done()
             for client, arrived in ((busy, first), (late, second)):
                 arrived.reply(answer(body=b"done"))
                 message = await client.receive()
                 assert message.body == b"done" and message.headers[b"connection"] == b"close"
-                assert await client.at_end()
-            await soon(w.node.stopped)
+                assert await client.closed_by_gateway()
+            await with_timeout(w.node.stopped)
         host.stop()
 
     run(test())
@@ -387,7 +392,7 @@
 
     async def test() -> None:
         host = await Peer().start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             send_all(w, "s-1", "s-1", "s-1")
             client = await w.client()
             third = request("r3")
@@ -405,8 +410,8 @@
             (await host.next()).reply(answer(body=b"r3"))
             message = await client.receive()
             assert message.body == b"r3" and message.headers[b"connection"] == b"close"
-            assert await client.at_end()
-            await soon(w.node.stopped)
+            assert await client.closed_by_gateway()
+            await with_timeout(w.node.stopped)
         host.stop()
 
     run(test())
@@ -417,7 +422,7 @@
 
     async def test() -> None:
         host = await Peer().start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             send_all(w, "s-1", "s-1")
             client = await w.client()
             client.send(request("r1") + request("r2", Plan="unknown") + request("r3"))
@@ -425,17 +430,17 @@
             first, third = sorted(two, key=lambda arrived: arrived.message.headers[b"x-request-id"])
             first.reply(answer(body=b"done"))
             assert (await client.receive()).body == b"done" and (await client.receive()).status == 400
-            assert await client.at_end()
-            assert [e.request for e in w.script.of(api.RequestAbandoned)] == ["r3"]
+            assert await client.closed_by_gateway()
+            assert [e.request for e in w.script.received(api.RequestAbandoned)] == ["r3"]
             third.reply(answer(body=b"late"))
-            done = await w.done(2)
+            done = await w.attempt_done(2)
             assert done.request == "r3" and not w.node.held
         host.stop()
 
     run(test())
 
 
-def stop_by_hand(w: World) -> list[tuple[float, Any]]:
+def stop_by_hand(w: RunningGateway) -> list[tuple[float, Any]]:
     """SIGTERM, with the steps of the drain left to the test: when each is due, and what it does."""
     steps: list[tuple[float, Any]] = []
     loop = w.node.loop
@@ -454,7 +459,7 @@
 
     async def test() -> None:
         host = await Peer(answer(body=b"done")).start()
-        async with world(entry("s-1", host.port), classes=short(0.2)) as w:
+        async with running_gateway(entry("s-1", host.port), classes=short(0.2)) as w:
             send_all(w, "s-1")
             for due, step in stop_by_hand(w):
                 if due <= 0.4:
@@ -463,7 +468,7 @@
         host.stop()
 
     monkeypatch.setattr(Clock, "now", lambda _: 1000.0)  # a late loop must not use up the short deadline
-    run_jumping(test())
+    run_in_fake_time(test())
 
 
 def test_a_new_connection_has_time_for_its_first_request_in_a_drain(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -471,7 +476,7 @@
 
     async def test() -> None:
         host = await Peer(answer(body=b"done")).start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             send_all(w, "s-1")
             idle = await w.client()
             assert (await idle.ask(b"GET /up HTTP/1.1\r\n\r\n")).status == 503
@@ -481,11 +486,11 @@
             for due, step in stop_by_hand(w):
                 if due <= 0.5:
                     step()
-            assert await idle.at_end()
+            assert await idle.closed_by_gateway()
             assert (await client.ask(request())).body == b"done"
         host.stop()
 
-    clock = StillClock()
+    clock = ManualClock()
     monkeypatch.setattr("coralvale.net.server.time", clock)
     run(test())
 
@@ -495,7 +500,7 @@
 
     async def test() -> None:
         hung, other = await Peer().start(), await Peer(answer(body=b"done")).start()
-        async with world(entry("s-1", hung.port), entry("s-2", other.port)) as w:
+        async with running_gateway(entry("s-1", hung.port), entry("s-2", other.port)) as w:
             send_all(w, "s-2", "s-1", "s-2")
             assert (await w.ask(request("r1"))).body == b"done"
             (kept,) = w.node.upstreams.connections  # and rested: a send on it would leave at once
@@ -505,7 +510,7 @@
             await hung.next()
             steps = stop_by_hand(w)
             next(step for _, step in steps if step == w.node._end)()
-            assert [e.outcome for e in w.script.of(api.AttemptDone)][1:] == [
+            assert [e.outcome for e in w.script.received(api.AttemptDone)][1:] == [
                 Outcome.TIMEOUT,
                 Outcome.NOT_SENT,
             ]
@@ -520,7 +525,7 @@
 def test_sigterm_finds_a_request_at_each_of_its_stages_and_answers_it_once(waits: str) -> None:
     async def test() -> None:
         host = await Peer().start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             started, go = hold_connects(w.node.upstreams)
             w.script.on(api.Request, lambda e: [api.CounterAdd(7, 1.0, 4.0)])
             w.script.on(api.CounterReply, lambda e: [api.Send("r1", "s-1", 0.0)])
@@ -530,7 +535,7 @@
             if waits == "for the counter":
                 w.node.stop()
             call.reply(answer(body=b"1"))
-            await soon(started.wait())
+            await with_timeout(started.wait())
             if waits == "for a connection":
                 w.node.stop()
             go.set()
@@ -540,8 +545,8 @@
             arrived.reply(answer(body=b"done"))
             message = await client.receive()
             assert message.body == b"done" and message.headers[b"connection"] == b"close"
-            assert await client.at_end()
-            await soon(w.node.stopped)
+            assert await client.closed_by_gateway()
+            await with_timeout(w.node.stopped)
         host.stop()
 
     run(test())
@@ -552,7 +557,7 @@
 
     async def test() -> None:
         host = await Peer().start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             w.script.on(api.Request, lambda e: [api.Send(e.id, "s-1", 0.0)])
             client, body = await w.client(), os.urandom(64 * 1024)
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
@@ -560,17 +565,17 @@
             waiting = [await host.next() for _ in range(MAX_PIPELINED_REQUESTS)]
             for arrived in waiting[1:]:
                 arrived.reply(answer(body=body))
-            await until(lambda: len(w.script.of(api.AttemptDone)) == MAX_PIPELINED_REQUESTS - 1)
+            await until(lambda: len(w.script.received(api.AttemptDone)) == MAX_PIPELINED_REQUESTS - 1)
             w.node.stop()
             waiting[0].reply(answer(body=body))
-            await w.done(MAX_PIPELINED_REQUESTS)
+            await w.attempt_done(MAX_PIPELINED_REQUESTS)
             assert not w.node.stopped.done()
             client.writer.transport.resume_reading()  # type: ignore[attr-defined]
             answers = [await client.receive() for _ in range(MAX_PIPELINED_REQUESTS)]
             assert all(message.body == body for message in answers)
             assert b"connection" not in answers[0].headers and answers[-1].headers[b"connection"] == b"close"
-            assert await client.at_end()
-            await soon(w.node.stopped)
+            assert await client.closed_by_gateway()
+            await with_timeout(w.node.stopped)
         host.stop()
 
     run(test())
@@ -580,7 +585,7 @@
     async def test() -> None:
         host, registry, counter = await Peer().start(), Registry(), await Peer().start()
         await registry.start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             send_all(w, "s-1")
             client = await w.client()
             client.send(request("r1"))
@@ -591,14 +596,14 @@
             arrived.reply(answer(body=b"done"))
             message = await client.receive()
             assert message.body == b"done" and message.headers[b"connection"] == b"close"
-            await soon(w.node.stopped)
+            await with_timeout(w.node.stopped)
         for peer in (host, registry, counter):
             peer.stop()
 
     run(test())
 
 
-def connect_unseen(w: World, count: int) -> list[socket.socket]:
+def connect_unseen(w: RunningGateway, count: int) -> list[socket.socket]:
     """Connections that the kernel accepts while the loop, which gets no turn here, sees none of them."""
     address = ("127.0.0.1", w.node.server.port)
     return [socket.create_connection(address) for _ in range(count)]
@@ -614,7 +619,7 @@
     connection.setblocking(False)
     reader, writer = await asyncio.open_connection(sock=connection)
     try:
-        return bytes(await soon(reader.read()))
+        return bytes(await with_timeout(reader.read()))
     except ConnectionError:
         return b""
     finally:
@@ -625,7 +630,7 @@
     return await asyncio.gather(*map(read_to_end, connections))
 
 
-def take_steps(w: World, *names: str) -> None:
+def take_steps(w: RunningGateway, *names: str) -> None:
     """SIGTERM, then steps of the drain that are overdue together: the loop reads nothing between them."""
     steps = {step.__name__: step for _, step in stop_by_hand(w)}
     for name in names:
@@ -640,7 +645,7 @@
 
     async def test() -> None:
         host = await Peer(answer(body=b"done")).start()
-        async with world(entry("s-1", host.port), sockets=1024) as w:
+        async with running_gateway(entry("s-1", host.port), sockets=1024) as w:
             w.script.on(api.Request, lambda e: [api.Send(e.id, "s-1", 0.0)])
             waiting = connect_unseen(w, 100)
             if writes == "before the listener is closed":
@@ -662,7 +667,7 @@
 
     async def test() -> None:
         host = await Peer(answer(body=b"done")).start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             w.script.on(api.Request, lambda e: [api.Send(e.id, "s-1", 0.0)])
             waiting = connect_unseen(w, 9)
             send_numbered(waiting)
@@ -680,7 +685,7 @@
 
     async def test() -> None:
         host = await Peer().start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             w.script.on(api.Request, lambda e: [api.Send(e.id, "s-1", 0.0)])
             w.node.server.max_connections, w.node.server.max_overflow = 1, 0
             busy = await w.client()
@@ -703,7 +708,7 @@
     """The last steps of a drain come due together, ahead of the requests that the kernel holds already."""
 
     async def test() -> None:
-        async with world() as w:
+        async with running_gateway() as w:
 
             async def end_when_stopped() -> None:
                 """As the program does, whose loop cancels what still runs."""
@@ -721,7 +726,7 @@
             time.sleep(2 * FLUSH)  # noqa: ASYNC251 - the loop itself is late
             answers = await read_all_to_end(connections)
             assert [each[:12] for each in answers] == [b"HTTP/1.1 503"] * 4
-            await soon(ending)
+            await with_timeout(ending)
 
     monkeypatch.setattr("coralvale.net.node.DEADLINE", 0.0)
     monkeypatch.setattr("coralvale.net.node.KILLED", BEFORE)  # the drain's time is up at once
@@ -731,14 +736,14 @@
 def test_what_is_unanswered_before_the_kill_is_answered_then(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         host = await Peer().start()
-        async with world(entry("s-1", host.port)) as w:
+        async with running_gateway(entry("s-1", host.port)) as w:
             send_all(w, "s-1")
             client = await w.client()
             client.send(request())
             await host.next()
             w.node.stop()
             assert (await client.receive()).status == 504
-            await soon(w.node.stopped)
+            await with_timeout(w.node.stopped)
         host.stop()
 
     monkeypatch.setattr("coralvale.net.node.DEADLINE", 0.5)
@@ -752,7 +757,7 @@
         hosts = [await Peer(answer()).start(), await Peer(answer()).start()]
         fast = {**SETTINGS["classes"][0], "aim_s": 2.0}
         known = [entry(f"s-{host.port}", host.port) for host in hosts]
-        async with world(*known, real=True, classes=[fast, SETTINGS["classes"][1]]) as w:
+        async with running_gateway(*known, real_module=True, classes=[fast, SETTINGS["classes"][1]]) as w:
             client = await w.client()
             for number in range(100):  # so that it knows what is usual
                 assert (await client.ask(request(f"r{number}"))).status == 200
@@ -763,7 +768,7 @@
             tasks = [asyncio.create_task(host.arrived.get()) for host in hosts]
             (first,), (other,) = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
             first.result().reply(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort")
-            (await soon(other)).reply(answer(body=b"whole"))
+            (await with_timeout(other)).reply(answer(body=b"whole"))
             assert (await client.receive()).body == b"whole"
             assert w.node.clock.now() - begun < 20.0  # the client would wait for 30 s
         for host in hosts:
@@ -780,8 +785,8 @@
         fast = {**SETTINGS["classes"][0], "aim_s": 1.0}
         plan = {"name": "team", "per_second": 0.01, "most_at_once": 1.0}
         changes = {"classes": [fast, SETTINGS["classes"][1]], "packages": [plan]}
-        async with world(
-            entry("s-1", host.port), real=True, family_info={"may_count": False}, **changes
+        async with running_gateway(
+            entry("s-1", host.port), real_module=True, family_info={"may_count": False}, **changes
         ) as w:
             client = await w.client()
             assert (await client.ask(request("r1"))).status == 200
@@ -801,7 +806,7 @@
 
     async def test() -> None:
         ceilings = {"most_held": 1, "retry_after": allowed}
-        async with world(ceilings=ceilings, classes=short(0.3), sockets=64) as w:
+        async with running_gateway(ceilings=ceilings, classes=short(0.3), sockets=64) as w:
             first, second = await w.client(), await w.client()
             first.send(request("r1"))
             await until(lambda: w.node.held)
@@ -827,7 +832,7 @@
             {"name": "mean", "per_second": 0.01, "most_at_once": 1.0},
             {"name": "team", "per_second": 1000.0, "most_at_once": 1000.0},
         ]
-        async with world(entry("s-1", host.port), real=True, packages=plans) as w:
+        async with running_gateway(entry("s-1", host.port), real_module=True, packages=plans) as w:
             client = await w.client()
             wrong = request("r1", Plan="mean", Quota_Info="units=1,spread=3,first=0")
             assert (await client.ask(wrong)).status == 200
@@ -847,8 +852,8 @@
         host = await Peer().start()
         plan = {"name": "team", "per_second": 0.001, "most_at_once": 6.0, "excess_cost": 1.0}
         family = {"may_count": False, "most_units": 4, "post_paid": True, "use_period_s": 0.0}
-        async with world(
-            entry("s-1", host.port), real=True, packages=[plan], family_info=family, n_instances=1
+        async with running_gateway(
+            entry("s-1", host.port), real_module=True, packages=[plan], family_info=family, n_instances=1
         ) as w:
             client = await w.client()
             sets = {"Quota_Info": "units=1,spread=1,first=0"}
@@ -873,15 +878,15 @@
         if ceiling:
             plan |= {"per_second": 9.0, "most_at_once": 9.0, "never_over_rate": 0.001, "hard_burst": 1.5}
         family = {"may_count": False, "use_period_s": 0.0}
-        async with world(
-            entry("s-1", host.port), real=True, packages=[plan], family_info=family, n_instances=1
+        async with running_gateway(
+            entry("s-1", host.port), real_module=True, packages=[plan], family_info=family, n_instances=1
         ) as w:
             started, go = hold_connects(w.node.upstreams)
             w.node.gateway.admission.born = -math.inf  # the ceiling is full
             sets = {"Quota_Info": "units=1,spread=1,first=0"}
             first, second = await w.client(), await w.client()
             first.send(request("r1", **sets))
-            await soon(started.wait())
+            await with_timeout(started.wait())
             first.close()
             await until(lambda: w.node.held["r1"].answered)
             go.set()
@@ -901,7 +906,7 @@
         host = await Peer(answer()).start()
         plan = {"name": "team", "per_second": 1.0, "most_at_once": 6.0, "excess_cost": 1.0}
         changes = {"packages": [plan], "family_info": {"may_count": False}}
-        async with world(entry("s-1", host.port), real=True, **changes) as w:
+        async with running_gateway(entry("s-1", host.port), real_module=True, **changes) as w:
             client = await w.client()
             headers = {"Quota_Info": "units=1,spread=3,first=1"}
             first = [(await client.ask(request(f"a{i}", **headers))).status for i in range(3)]
@@ -918,29 +923,29 @@
 
     async def test() -> None:
         host = await Peer().start()
-        async with world(entry("s-1", host.port), real=True) as w:
+        async with running_gateway(entry("s-1", host.port), real_module=True) as w:
             client = await w.client()
             seen = w.node.gateway.hosts["s-1"]
             for number in range(5):
                 client.send(request(f"lost{number}"))
                 (await host.next()).reset()
                 assert (await client.receive()).status == 503
-                assert not seen.ill(w.node.clock.now(), 1.0) and not seen.retry_at
+                assert not seen.is_unhealthy(w.node.clock.now(), 1.0) and not seen.backoff_until
                 client.send(request(f"well{number}"))
                 (await host.next()).reply(answer())
                 assert (await client.receive()).status == 200
             for number in range(3):
-                assert not seen.retry_at
+                assert not seen.backoff_until
                 client.send(request(f"down{number}"))
                 (await host.next()).reset()
                 assert (await client.receive()).status == 503
-            assert seen.retry_at > w.node.clock.now()
+            assert seen.backoff_until > w.node.clock.now()
         gone = await Peer().start()
-        async with world(entry("s-1", gone.port), real=True) as w:
+        async with running_gateway(entry("s-1", gone.port), real_module=True) as w:
             gone.stop()
-            await soon(gone.server.wait_closed())
+            await with_timeout(gone.server.wait_closed())
             assert (await w.ask(request())).status == 503
-            assert w.node.gateway.hosts["s-1"].retry_at > w.node.clock.now()
+            assert w.node.gateway.hosts["s-1"].backoff_until > w.node.clock.now()
         host.stop()
 
     run(test())
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 import pytest
-from net_helpers import Peer, answer, hold_connects, run, soon, until
+from net_helpers import Peer, answer, hold_connects, run, until, with_timeout
 
 from coralvale.interface import Outcome
 from coralvale.net.clock import Clock
@@ -52,7 +52,7 @@
         return attempt
 
     async def outcome(self) -> Outcome:
-        return (await soon(self.ended.get()))[1]
+        return (await with_timeout(self.ended.get()))[1]
 
 
 @contextlib.asynccontextmanager
@@ -159,8 +159,8 @@
                 host.setblocking(False)
                 # Far more than the socket buffers hold, so that the end of it stays unwritten.
                 h.send(b"x" * (64 * 1024 * 1024), address=host.getsockname())
-                connection, _ = await soon(asyncio.get_running_loop().sock_accept(host))
-                assert await soon(asyncio.get_running_loop().sock_recv(connection, 100))
+                connection, _ = await with_timeout(asyncio.get_running_loop().sock_accept(host))
+                assert await with_timeout(asyncio.get_running_loop().sock_recv(connection, 100))
                 connection.close()
                 assert await h.outcome() is Outcome.CONNECT_FAILED
 
@@ -216,14 +216,14 @@
                 host.setblocking(False)
                 loop = asyncio.get_running_loop()
                 h.send(address=host.getsockname())
-                first, _ = await soon(loop.sock_accept(host))
-                await soon(loop.sock_recv(first, 1000))
-                await soon(loop.sock_sendall(first, answer()))
+                first, _ = await with_timeout(loop.sock_accept(host))
+                await with_timeout(loop.sock_recv(first, 1000))
+                await with_timeout(loop.sock_sendall(first, answer()))
                 assert await h.outcome() is Outcome.OK
                 first.close()
                 h.send(address=host.getsockname())  # at once: the loop has not yet read that the host closed
-                second, _ = await soon(loop.sock_accept(host))
-                assert await soon(loop.sock_recv(second, 1000)) == PAYLOAD
+                second, _ = await with_timeout(loop.sock_accept(host))
+                assert await with_timeout(loop.sock_recv(second, 1000)) == PAYLOAD
                 second.close()
 
     run(test())
@@ -249,7 +249,7 @@
         async with harness() as h:
             h.send()
             (await h.host.next()).reply(answer(body=b"own") + answer(500, body=b"nobody's"))
-            _, outcome, own = await soon(h.ended.get())
+            _, outcome, own = await with_timeout(h.ended.get())
             assert outcome is Outcome.OK and own is not None and own.body == b"own"
             h.send()
             arrived = await h.host.next()
@@ -272,7 +272,7 @@
             arrived = await h.host.next()
             assert arrived.connection == 2
             arrived.reply(answer(body=b"own"))
-            _, outcome, own = await soon(h.ended.get())
+            _, outcome, own = await with_timeout(h.ended.get())
             assert outcome is Outcome.OK and own is not None and own.body == b"own"
             assert h.ended.empty()
 
@@ -284,7 +284,7 @@
         async with harness(answer()) as h:
             started, go = hold_connects(h.upstreams)
             late = h.send()
-            await soon(started.wait())
+            await with_timeout(started.wait())
             h.upstreams.abort_attempt(late, Outcome.TIMEOUT)
             assert await h.outcome() is Outcome.NOT_SENT  # it never ran, whatever it was aborted for
             go.set()
@@ -359,7 +359,7 @@
             one, two = await h.host.next(), await h.host.next()
             one.reply(answer())
             assert await h.outcome() is Outcome.OK
-            h.upstreams.retire(first.place)  # one connection is idle, one busy
+            h.upstreams.retire(first.host_instance)  # one connection is idle, one busy
             await until(lambda: h.host.closed == 1)
             two.reply(answer())
             assert await h.outcome() is Outcome.OK and second.ended
@@ -383,7 +383,7 @@
             waiting = Attempt("s-1", h.host.address, lambda: PAYLOAD, lambda *end: h.ended.put_nowait(end))
             pool.waiting_attempts.append(waiting)
             arrived.reply(answer(body=b"right"))
-            _, outcome, got = await soon(h.ended.get())
+            _, outcome, got = await with_timeout(h.ended.get())
             assert outcome is Outcome.OK and got is not None and got.body == b"right"
             assert not waiting.connection  # not in the same turn of the loop
             arrived.reply(answer(body=b"wrong"))
@@ -415,7 +415,7 @@
                     Attempt("s-1", h.host.address, lambda: PAYLOAD, lambda *end: h.ended.put_nowait(end))
                 )
             first.reply(answer(body=b"first"))
-            await soon(h.ended.get())
+            await with_timeout(h.ended.get())
             if not attempt_waits:
                 h.send()
             for delay, callback in timers:
@@ -431,7 +431,7 @@
             if not attempt_waits:
                 other = await h.host.next()
                 other.reply(answer(body=b"own"))
-                _, outcome, got = await soon(h.ended.get())
+                _, outcome, got = await with_timeout(h.ended.get())
                 assert outcome is Outcome.OK and got is not None and got.body == b"own"
 
     run(test())
