--- a/coralvale/net/node.py
+++ b/coralvale/net/node.py
@@ -23,8 +23,8 @@
 from coralvale.net.config import Address, Config, HostInstance
 from coralvale.net.counter import CounterClient
 from coralvale.net.discovery import Discovery, Endpoint
-from coralvale.net.server import NOT_PASSED_ON, Arrival, Exchange, Server
-from coralvale.net.upstream import Answer, Attempt, Upstreams
+from coralvale.net.server import HEADERS_NOT_FORWARDED, Exchange, ParsedRequest, Server
+from coralvale.net.upstream import Attempt, Response, Upstreams
 
 log = logging.getLogger(__name__)
 
@@ -71,7 +71,7 @@
         "last_timed_out",
     )
 
-    def __init__(self, exchange: Exchange, arrival: Arrival, expires_at: float) -> None:
+    def __init__(self, exchange: Exchange, arrival: ParsedRequest, expires_at: float) -> None:
         self.exchange, self.arrival, self.expires_at = exchange, arrival, expires_at
         self.attempts: list[Attempt] = []
         self.outstanding = 0  # attempts that have not ended
@@ -218,7 +218,7 @@
             return
         if (
             pending.may_have_run
-            and self.settings.classes[pending.arrival.cls].idempotency is not api.Idempotency.SAFE
+            and self.settings.classes[pending.arrival.class_index].idempotency is not api.Idempotency.SAFE
         ):
             self._reply(pending, 504 if pending.last_timed_out else 502)
         else:
@@ -236,35 +236,37 @@
             if pending.timer:
                 pending.timer.cancel()
             self.pending.pop(pending.arrival.id, None)
-            pending.exchange.held = None  # breaks the reference cycle, to be freed without garbage collection
+            pending.exchange.pending_request = (
+                None  # breaks the reference cycle, to be freed without garbage collection
+            )
             pending.attempts.clear()
             if self.drain_deadline is not None:
                 self._stop_if_drained()
 
     # Clients
 
-    def take(self, exchange: Exchange, arrival: Arrival) -> None:
+    def handle_request(self, exchange: Exchange, arrival: ParsedRequest) -> None:
         if arrival.id in self.pending:  # two requests with the same id could not be told apart
-            exchange.refuse(400, b"x-request-id: in use\n")
+            exchange.reject(400, b"x-request-id: in use\n")
             return
         if len(self.pending) >= self.config.most_held:
             exchange.reply(503, retry_after=self.settings.retry_after_limit)
             return
         now = self.clock.now()
-        timeout = min(arrival.time_out, self.settings.classes[arrival.cls].timeout)
+        timeout = min(arrival.timeout, self.settings.classes[arrival.class_index].timeout)
         expires_at = now + max(0.0, timeout - RESPONSE_MARGIN_S)
         if self.drain_deadline is not None:
             expires_at = min(expires_at, self.drain_deadline)
         pending = PendingRequest(exchange, arrival, expires_at)
-        exchange.held = pending
+        exchange.pending_request = pending
         self.pending[arrival.id] = pending
         self.dispatch(
             api.Request(
                 id=arrival.id,
-                class_index=arrival.cls,
-                plan_index=arrival.plan,
+                class_index=arrival.class_index,
+                plan_index=arrival.plan_index,
                 customer=arrival.customer,
-                entry_gateways=arrival.entries,
+                entry_gateways=arrival.entry_gateways,
                 expires_at=expires_at,
                 units=arrival.units,
             )
@@ -272,8 +274,8 @@
         if not pending.answered:  # under load most requests are refused at once and need no timer
             pending.timer = self.loop.call_later(max(0.0, expires_at - now), self._expire, pending)
 
-    def client_left(self, exchange: Exchange) -> None:
-        pending = exchange.held
+    def client_disconnected(self, exchange: Exchange) -> None:
+        pending = exchange.pending_request
         if pending is not None and not pending.answered:
             pending.answered = True
             self.dispatch(api.RequestAbandoned(pending.arrival.id))
@@ -285,7 +287,7 @@
         pending.expires_at = min(pending.expires_at, self.clock.now())
         for attempt in list(pending.attempts):
             if not attempt.ended:
-                self.upstreams.give_up(attempt, Outcome.TIMEOUT)
+                self.upstreams.abort_attempt(attempt, Outcome.TIMEOUT)
         self._reply_undecided(pending)
 
     # Actions of the decision module
@@ -308,8 +310,8 @@
         deadline = min(action.deadline or pending.expires_at, pending.expires_at)
 
         def payload() -> bytes | None:
-            if pending.exchange.connection.gone():
-                self.client_left(pending.exchange)
+            if pending.exchange.connection.is_disconnected():
+                self.client_disconnected(pending.exchange)
             if pending.answered or not self._may_send_to(endpoint):
                 return None
             remaining = deadline - self.clock.now()
@@ -318,11 +320,11 @@
         attempt = Attempt(
             action.host, endpoint.address, payload, partial(self._attempt_done, pending), number, now
         )
-        attempt.started_at = endpoint.host.started_at
+        attempt.host_started_at = endpoint.host.started_at
         pending.attempts.append(attempt)
         if deadline < pending.expires_at - TIMER_RESOLUTION_S:
             attempt.timer = self.loop.call_later(
-                max(0.0, deadline - now), self.upstreams.give_up, attempt, Outcome.TIMEOUT
+                max(0.0, deadline - now), self.upstreams.abort_attempt, attempt, Outcome.TIMEOUT
             )
         self.upstreams.send(attempt)
 
@@ -342,14 +344,16 @@
         return b"%b %b HTTP/1.1\r\n%bX-Timeout: %.3f\r\n%b\r\n%b" % (
             exchange.method,
             exchange.target,
-            b"".join([b"%b: %b\r\n" % h for h in exchange.headers if h[0].lower() not in NOT_PASSED_ON]),
+            b"".join(
+                [b"%b: %b\r\n" % h for h in exchange.headers if h[0].lower() not in HEADERS_NOT_FORWARDED]
+            ),
             remaining,
             length,
             body,
         )
 
     def _attempt_done(
-        self, pending: PendingRequest, attempt: Attempt, outcome: Outcome, answer: Answer | None
+        self, pending: PendingRequest, attempt: Attempt, outcome: Outcome, answer: Response | None
     ) -> None:
         """Called once when an attempt ends; the first OK response goes to the client at once."""
         pending.outstanding -= 1
@@ -361,14 +365,14 @@
         self.dispatch(
             api.AttemptDone(
                 request=pending.arrival.id,
-                attempt=attempt.number,
+                attempt=attempt.index,
                 outcome=outcome,
                 delay=self.clock.now() - attempt.sent_at,
                 request_done=pending.answered,
                 usage=answer.usage if answer else None,
                 units=answer.units if answer and outcome is Outcome.OK else None,
-                load_report=answer.report if answer else (),
-                connection_broken=attempt.broke,
+                load_report=answer.load_report if answer else (),
+                connection_broken=attempt.connection_broken,
             )
         )
         self._remove_if_done(pending)
@@ -380,7 +384,7 @@
             and 0 <= action.attempt < len(pending.attempts)
             and not pending.attempts[action.attempt].ended
         ):
-            self.upstreams.give_up(pending.attempts[action.attempt], Outcome.CANCELLED)
+            self.upstreams.abort_attempt(pending.attempts[action.attempt], Outcome.CANCELLED)
 
     def _refuse(self, action: api.Refuse) -> None:
         if pending := self.pending.get(action.request):
@@ -397,8 +401,8 @@
     def _probe(self, action: api.Probe) -> None:
         endpoint, started = self.discovery.endpoints.get(action.host), self.clock.now()
 
-        def ended(attempt: Attempt, outcome: Outcome, answer: Answer | None) -> None:
-            report = answer.report if answer else ()
+        def ended(attempt: Attempt, outcome: Outcome, answer: Response | None) -> None:
+            report = answer.load_report if answer else ()
             self.dispatch(api.ProbeDone(action.host, outcome, self.clock.now() - started, report))
 
         text = f"GET /alive HTTP/1.1\r\nHost: {action.host}\r\n\r\n".encode()
@@ -406,9 +410,9 @@
         if endpoint is None:
             attempt.end(Outcome.NOT_SENT)
             return
-        attempt.started_at = endpoint.host.started_at
+        attempt.host_started_at = endpoint.host.started_at
         attempt.timer = self.loop.call_later(
-            self.config.connect_timeout, self.upstreams.give_up, attempt, Outcome.TIMEOUT
+            self.config.connect_timeout, self.upstreams.abort_attempt, attempt, Outcome.TIMEOUT
         )
         self.upstreams.send(attempt)
 
@@ -457,7 +461,7 @@
 
     def _close_idle(self) -> None:
         """Closes idle connections, again and again until the node stops; unread requests are served first."""
-        self.server.close_idle()
+        self.server.close_idle_connections()
         self._stop_if_drained()
         if not self.stopped.done():
             self.loop.call_later(DRAIN_POLL_S, self._close_idle)
@@ -469,7 +473,7 @@
     def _end_drain(self) -> None:
         for pending in list(self.pending.values()):
             self._expire(pending)
-        self.server.close_idle()
+        self.server.close_idle_connections()
         self.loop.call_later(FLUSH_S, self._stop_when_answered, MAX_EXTRA_POLLS)
 
     def _stop_when_answered(self, polls: int) -> None:
@@ -478,7 +482,7 @@
         A late event loop runs its overdue timers before it reads from its sockets, so FLUSH_S may have passed
         before requests that the kernel holds are read and answered.
         """
-        if polls and (not self.listener_closed or self.server.owes_answers()):
+        if polls and (not self.listener_closed or self.server.has_pending_responses()):
             self.loop.call_later(DRAIN_POLL_S, self._stop_when_answered, polls - 1)
         else:
             self._set_stopped()
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -1,4 +1,4 @@
-"""The clients' side over sockets: what is taken, what is turned away, connections and their bounds."""
+"""Client connections over sockets: valid and invalid requests, connection limits and timeouts."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 )
 
 from coralvale import interface as api
-from coralvale.net.server import IDLE, PARTIAL
+from coralvale.net.server import IDLE_TIMEOUT_S, REQUEST_READ_TIMEOUT_S
 
-MOMENT = 0.001  # s by which a time limit is passed
+MARGIN_S = 0.001  # by which a timeout is exceeded
 
 
 def refuse_all(w: RunningGateway) -> None:
     w.script.on(api.Request, lambda e: [api.Refuse(e.id, 0.25)])
 
 
-def test_a_request_reaches_the_module_as_it_came() -> None:
+def test_a_request_reaches_the_decision_module_with_the_values_of_its_headers() -> None:
     async def test() -> None:
         async with running_gateway() as w:
             refuse_all(w)
@@ -90,7 +90,7 @@
         (request(target="/"), 404),
     ],
 )
-def test_what_is_not_in_the_protocols_form_reaches_nobody(data: bytes, status: int) -> None:
+def test_an_invalid_request_is_answered_with_an_error_and_not_handled(data: bytes, status: int) -> None:
     async def test() -> None:
         async with running_gateway(entry("s-1", 1)) as w:
             assert (await w.ask(data)).status == status
@@ -155,7 +155,7 @@
     run(test())
 
 
-def test_a_client_that_leaves_is_told_to_the_module_once() -> None:
+def test_a_client_that_disconnects_is_reported_to_the_decision_module_once() -> None:
     async def test() -> None:
         async with running_gateway() as w:
             client = await w.client()
@@ -174,7 +174,7 @@
     run(test())
 
 
-def test_a_second_request_under_an_id_in_use_is_turned_away() -> None:
+def test_a_second_request_with_an_id_in_use_is_rejected() -> None:
     async def test() -> None:
         async with running_gateway() as w:
             client = await w.client()
@@ -186,7 +186,7 @@
     run(test())
 
 
-def test_the_most_held_is_kept_and_the_surplus_refused_at_once() -> None:
+def test_requests_beyond_the_maximum_of_pending_ones_are_refused_at_once() -> None:
     async def test() -> None:
         async with running_gateway(ceilings={"most_held": 2}) as w:
             client = await w.client()
@@ -199,39 +199,39 @@
     run(test())
 
 
-def test_connections_are_bounded_idle_ones_give_way_and_the_surplus_is_refused() -> None:
+def test_at_the_connection_limit_idle_ones_are_closed_for_new_ones_or_requests_refused() -> None:
     async def test() -> None:
         async with running_gateway() as w:
             refuse_all(w)
-            w.node.server.most, w.node.server.surplus = 2, 1
+            w.node.server.max_connections, w.node.server.max_overflow = 2, 1
             first, second = await w.client(), await w.client()
             await first.ask(request("r1"))
             await second.ask(request("r2"))
             third = await w.client()
             assert (await third.ask(request("r3"))).status == 503
-            assert await first.closed_by_gateway()  # it had stood idle the longest
+            assert await first.closed_by_gateway()  # it was idle for longest
             w.script.on(api.Request, lambda e: [])
             second.send(request("r4"))
             third.send(request("r5"))
             await until(lambda: len(w.node.pending) == 2)
-            surplus = await w.client()
-            message = await surplus.ask(request("r6"))
+            overflow = await w.client()
+            message = await overflow.ask(request("r6"))
             assert message.status == 503 and message.headers[b"connection"] == b"close"
-            assert await surplus.closed_by_gateway() and len(w.node.pending) == 2
+            assert await overflow.closed_by_gateway() and len(w.node.pending) == 2
 
     run(test())
 
 
-def test_the_time_that_a_new_connection_waits_for_its_place_is_the_client_s() -> None:
-    """The soak saw a host told of 0.2 s more than its client had left, where idle clients crowded in.
+def test_the_wait_of_a_new_connection_to_be_accepted_counts_against_the_timeout() -> None:
+    """Otherwise hosts are told of more time than the client has left (0.2 s more in a run with idle clients).
 
-    A connection that has to wait in the kernel for its place brings its request along. The request's time
-    counts from its last byte, so what is left of it when it is read is less by up to that wait.
+    A connection that waits in the kernel to be accepted brings its request along. The timeout counts from the
+    request's last byte, so by the time the request is read, up to that wait has to be taken off.
     """
 
     async def test() -> None:
         async with running_gateway() as w:
-            w.node.server.most, w.node.server.surplus = 1, 0
+            w.node.server.max_connections, w.node.server.max_overflow = 1, 0
             first = await w.client()
             first.send(request("r1"))
             await until(lambda: len(w.node.pending) == 1)
@@ -257,7 +257,7 @@
 
 def test_accepting_goes_on_after_it_has_failed() -> None:
     class Exhausted:
-        """A listening socket on a machine that runs out of descriptors once."""
+        """A listening socket whose first accept fails for lack of descriptors."""
 
         def __init__(self, inner: socket.socket) -> None:
             self.inner, self.failures = inner, 1
@@ -281,7 +281,9 @@
     run(test())
 
 
-def test_idle_clients_and_requests_that_never_come_whole_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_idle_connections_and_those_of_incomplete_requests_are_closed(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def test() -> None:
         async with running_gateway() as w:
             refuse_all(w)
@@ -289,65 +291,67 @@
             slow.send(request()[:-10])
             body.send(request(class_name="write", Content_Length="9") + b"x")
             assert (await usual.ask(request("r1"))).status == 503
-            await until(lambda: sum(c.reading is not None for c in w.node.server.connections) == 2)
-            clock.now += PARTIAL
+            await until(lambda: sum(c.incoming is not None for c in w.node.server.connections) == 2)
+            clock.now += REQUEST_READ_TIMEOUT_S
             w.node.server._sweep()
-            assert len(w.node.server.connections) == 4  # their time is not over yet
-            assert not any(c.ended or c.failed for c in w.node.server.connections)
-            clock.now += MOMENT
-            for client in (slow, body):  # they are told why, as nothing was taken of them
+            assert len(w.node.server.connections) == 4  # no timeout has passed yet
+            assert not any(c.closing or c.error_status for c in w.node.server.connections)
+            clock.now += MARGIN_S
+            for client in (slow, body):  # answered, as their requests were not handled
                 assert (await client.receive()).status == 408
                 assert await client.closed_by_gateway()
             assert await silent.closed_by_gateway()
-            assert (await usual.ask(request("r2"))).status == 503  # one that asks is not hurried
+            assert (await usual.ask(request("r2"))).status == 503  # one that sends requests is not closed
             await until(lambda: len(w.node.server.connections) == 1)
-            clock.now += IDLE
+            clock.now += IDLE_TIMEOUT_S
             w.node.server._sweep()
-            assert [c.ended for c in w.node.server.connections] == [False]
-            clock.now += MOMENT
+            assert [c.closing for c in w.node.server.connections] == [False]
+            clock.now += MARGIN_S
             assert await usual.closed_by_gateway()
             assert len(w.script.received(api.Request)) == 2
 
     clock = ManualClock()
     monkeypatch.setattr("coralvale.net.server.time", clock)
-    for name in ("SWEEP", "LINGER"):
+    for name in ("SWEEP_INTERVAL_S", "LINGER_S"):
         monkeypatch.setattr(f"coralvale.net.server.{name}", 0.01)
     run(test())
 
 
-def test_idle_connections_are_closed_sooner_when_room_is_short(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_idle_connections_are_closed_sooner_near_the_connection_limit(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def test() -> None:
         async with running_gateway() as w:
             refuse_all(w)
-            w.node.server.most = 3
+            w.node.server.max_connections = 3
             first, second = await w.client(), await w.client()
             await first.ask(request("r1"))
             await second.ask(request("r2"))
             assert await first.closed_by_gateway()
 
-    monkeypatch.setattr("coralvale.net.server.SHORT_IDLE", 0.01)
-    monkeypatch.setattr("coralvale.net.server.SWEEP", 0.01)
+    monkeypatch.setattr("coralvale.net.server.SHORT_IDLE_TIMEOUT_S", 0.01)
+    monkeypatch.setattr("coralvale.net.server.SWEEP_INTERVAL_S", 0.01)
     run(test())
 
 
-def test_silent_connections_give_way_to_those_that_ask(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Nobody gains by connecting a hundred times and saying nothing."""
+def test_silent_connections_are_closed_for_those_that_send_requests(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A hundred connections that send nothing must not keep out a client with a request."""
 
     async def test() -> None:
         async with running_gateway() as w:
             refuse_all(w)
-            w.node.server.most, w.node.server.surplus = 4, 0
+            w.node.server.max_connections, w.node.server.max_overflow = 4, 0
             silent = [await w.client() for _ in range(100)]
             assert (await w.ask(request())).headers[b"retry-after"] == b"0.250"
             assert len(w.node.server.connections) <= 4
             assert await silent[0].closed_by_gateway()
 
-    monkeypatch.setattr("coralvale.net.server.SETTLING", 0.0)
+    monkeypatch.setattr("coralvale.net.server.NEW_CONNECTION_GRACE_S", 0.0)
     run(test())
 
 
-def test_a_bad_request_is_the_last_of_its_connection() -> None:
-    """Else the same could come again at full speed; what follows it at once is not looked at."""
+def test_an_invalid_request_is_the_last_of_its_connection() -> None:
+    """Otherwise a client could repeat it at full speed. A request right behind it is ignored."""
 
     async def test() -> None:
         async with running_gateway() as w:
@@ -360,7 +364,7 @@
     run(test())
 
 
-def test_what_comes_behind_a_bad_head_is_not_read_and_the_answer_arrives() -> None:
+def test_the_body_behind_an_invalid_head_is_not_read_and_the_response_arrives() -> None:
     async def test() -> None:
         async with running_gateway() as w:
             bad = await w.client()
@@ -370,12 +374,12 @@
             assert connection.transport is not None and not connection.transport.is_reading()
             bad.send(b"x" * 1_000_000)
             assert await bad.closed_by_gateway()
-            await until(lambda: not w.node.server.connections)  # it does not stay for good
+            await until(lambda: not w.node.server.connections)  # the connection is closed in the end
 
     run(test())
 
 
-def test_only_so_many_connections_wait_for_their_last_answer_to_arrive(
+def test_the_number_of_lingering_connections_is_limited(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
@@ -384,12 +388,12 @@
                 assert (await w.ask(b"nonsense\r\n\r\n")).status == 400
             await until(lambda: len(w.node.server.connections) == 2)
 
-    monkeypatch.setattr("coralvale.net.server.LINGER", 60.0)
-    monkeypatch.setattr("coralvale.net.server.LINGERING", 2)
+    monkeypatch.setattr("coralvale.net.server.LINGER_S", 60.0)
+    monkeypatch.setattr("coralvale.net.server.MAX_LINGERING", 2)
     run(test())
 
 
-def test_up_is_told_once_the_list_is_there(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_up_is_answered_200_once_the_host_list_has_arrived(monkeypatch: pytest.MonkeyPatch) -> None:
     async def up(client: Client) -> int:
         return (await client.ask(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")).status
 
@@ -408,10 +412,10 @@
     run(test())
 
 
-def test_a_client_that_never_reads_is_read_no_further_and_dropped_in_the_end(
+def test_a_client_that_never_reads_is_no_longer_read_and_finally_disconnected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Though it goes on sending: its unread answers would fill the memory."""
+    """It goes on sending requests: without a limit, the unread responses would fill the memory."""
 
     async def test() -> None:
         async with running_gateway() as w:
@@ -422,25 +426,25 @@
             (connection,) = w.node.server.connections
             assert connection.transport
             unread = connection.transport.get_write_buffer_size
-            await until(lambda: connection.paused or unread() > 4_000_000)
+            await until(lambda: connection.reading_paused or unread() > 4_000_000)
             assert unread() < 2_000_000
             await until(lambda: not w.node.server.connections)
 
-    monkeypatch.setattr("coralvale.net.server.STUCK", 0.3)
+    monkeypatch.setattr("coralvale.net.server.WRITE_TIMEOUT_S", 0.3)
     run(test())
 
 
-def test_one_that_reads_late_gets_all_of_its_answers() -> None:
+def test_a_client_that_reads_late_gets_all_of_its_responses() -> None:
     async def test() -> None:
         async with running_gateway() as w:
             client, count = await w.client(), 300_000
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             client.send(count * b"GET /up HTTP/1.1\r\n\r\n")
-            await until(lambda: any(c.stuck_at is not None for c in w.node.server.connections))
+            await until(lambda: any(c.write_blocked_since is not None for c in w.node.server.connections))
             client.writer.transport.resume_reading()  # type: ignore[attr-defined]
             seen, end = 0, b""
             while seen < count:
                 end = end[-8:] + await with_timeout(client.reader.read(1 << 20))
-                seen += end.count(b"HTTP/1.1 ")  # nine bytes, of which eight are kept
+                seen += end.count(b"HTTP/1.1 ")  # nine bytes; the last eight are kept for the next read
 
     run(test())
