--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -164,7 +164,7 @@
             client.close()
             await until(lambda: w.script.received(api.RequestAbandoned))
             assert w.script.received(api.RequestAbandoned) == [api.RequestAbandoned("r1")]
-            assert not w.node.held
+            assert not w.node.pending
             half = await w.client()
             half.send(request("r2")[:-10])
             half.close()
@@ -191,7 +191,7 @@
         async with running_gateway(ceilings={"most_held": 2}) as w:
             client = await w.client()
             client.send(request("r1") + request("r2"))
-            await until(lambda: len(w.node.held) == 2)
+            await until(lambda: len(w.node.pending) == 2)
             message = await w.ask(request("r3"))
             assert message.status == 503 and message.headers[b"retry-after"] == b"0.500"
             assert len(w.script.received(api.Request)) == 2
@@ -213,11 +213,11 @@
             w.script.on(api.Request, lambda e: [])
             second.send(request("r4"))
             third.send(request("r5"))
-            await until(lambda: len(w.node.held) == 2)
+            await until(lambda: len(w.node.pending) == 2)
             overflow = await w.client()
             message = await overflow.ask(request("r6"))
             assert message.status == 503 and message.headers[b"connection"] == b"close"
-            assert await overflow.closed_by_gateway() and len(w.node.held) == 2
+            assert await overflow.closed_by_gateway() and len(w.node.pending) == 2
 
     run(test())
 
@@ -234,22 +234,22 @@
             w.node.server.max_connections, w.node.server.max_overflow = 1, 0
             first = await w.client()
             first.send(request("r1"))
-            await until(lambda: len(w.node.held) == 1)
+            await until(lambda: len(w.node.pending) == 1)
             second = await w.client()
             sent_at = w.node.clock.now()
             second.send(request("r2"))
             await until(lambda: w.node.clock.now() > sent_at + 0.2)
             first.close()
-            await until(lambda: "r2" in w.node.held)
+            await until(lambda: "r2" in w.node.pending)
             (_, event) = w.script.received(api.Request)
             assert event.expires_at <= sent_at + 30.0
             assert event.expires_at > sent_at + 29.0
             third = await w.client()
             second.close()
-            await until(lambda: not w.node.held)
+            await until(lambda: not w.node.pending)
             third.send(request("r3"))
             sent_at = w.node.clock.now()
-            await until(lambda: "r3" in w.node.held)
+            await until(lambda: "r3" in w.node.pending)
             assert w.script.received(api.Request)[-1].expires_at > sent_at + 29.0
 
     run(test())
@@ -408,7 +408,7 @@
             await until(lambda: w.node.ready)
             assert await up(client) == 200
 
-    monkeypatch.setattr("coralvale.net.node.READY", 60.0)  # so only the list makes it ready
+    monkeypatch.setattr("coralvale.net.node.READY_TIMEOUT_S", 60.0)  # so only the list makes it ready
     run(test())
 
 
