--- a/coralvale/net/node.py
+++ b/coralvale/net/node.py
@@ -236,9 +236,8 @@
             if pending.timer:
                 pending.timer.cancel()
             self.pending.pop(pending.arrival.id, None)
-            pending.exchange.pending_request = (
-                None  # breaks the reference cycle, to be freed without garbage collection
-            )
+            # Breaks the reference cycle, to be freed without garbage collection.
+            pending.exchange.pending_request = None
             pending.attempts.clear()
             if self.drain_deadline is not None:
                 self._stop_if_drained()
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -408,7 +408,7 @@
             await until(lambda: w.node.ready)
             assert await up(client) == 200
 
-    monkeypatch.setattr("coralvale.net.node.READY_TIMEOUT_S", 60.0)  # it is the list that makes it ready
+    monkeypatch.setattr("coralvale.net.node.READY_TIMEOUT_S", 60.0)  # so only the list makes it ready
     run(test())
 
 
