--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -14,11 +14,11 @@
     bench = Bench()
     name, actions = bench.request()
     bad = actions[0].host
-    (again,) = bench.done(name, api.Outcome.CONNECT_FAILED)
+    (retry,) = bench.done(name, api.Outcome.CONNECT_FAILED)
     bench.done(name, attempt=1)
     for customer in range(10, 14):
         name, actions = bench.request(customer=customer)
-        assert actions[0].host == again.host != bad
+        assert actions[0].host == retry.host != bad
     bench.wait(9.0)
     hosts = {bench.request(customer=c)[1][0].host for c in range(20, 30)}
     assert bad in hosts
@@ -116,7 +116,7 @@
 
 
 def test_only_failures_after_connecting_are_charged_to_the_retry_budget() -> None:
-    left = {}
+    sent_by_outcome = {}
     for outcome in (api.Outcome.CONNECT_FAILED, api.Outcome.ERROR):
         bench = Bench(hosts=tuple(host_info(f"s{i}") for i in range(3)))
         for customer in range(30):
@@ -124,9 +124,9 @@
             name, _ = bench.request(customer=customer)
             for attempt in range(3):
                 bench.done(name, outcome, attempt=attempt)
-        left[outcome] = sum(isinstance(a, api.Send) for a in bench.seen)
-    assert left[api.Outcome.CONNECT_FAILED] == 30 * 3  # each host once
-    assert left[api.Outcome.ERROR] <= 30 * 1.2 + 1
+        sent_by_outcome[outcome] = sum(isinstance(a, api.Send) for a in bench.seen)
+    assert sent_by_outcome[api.Outcome.CONNECT_FAILED] == 30 * 3  # each host once
+    assert sent_by_outcome[api.Outcome.ERROR] <= 30 * 1.2 + 1
 
 
 def test_a_host_gets_one_attempt_at_a_time_after_its_backoff() -> None:
@@ -289,6 +289,6 @@
     subset = subset_of(bench)
     for customer in range(20):
         name, actions = bench.request(customer=customer)
-        (again,) = bench.done(name, api.Outcome.CONNECT_FAILED, request_done=False)
-        assert isinstance(again, api.Send) and again.host in subset - {actions[0].host}
+        (retry,) = bench.done(name, api.Outcome.CONNECT_FAILED, request_done=False)
+        assert isinstance(retry, api.Send) and retry.host in subset - {actions[0].host}
         bench.done(name, attempt=1)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -13,7 +13,7 @@
 CAPPED = replace(PLAN, rate=10.0, burst=40.0, ceiling_rate=4.0, ceiling_burst=8.0)
 
 
-def only(actions: list[api.Action], kind: type) -> list[api.Action]:
+def assert_only(actions: list[api.Action], kind: type) -> list[api.Action]:
     assert [type(a) for a in actions] == [kind]
     return actions
 
@@ -24,12 +24,12 @@
 def test_a_request_past_its_time_is_refused_and_not_sent() -> None:
     bench = Bench()
     _, actions = bench.request(expires_at=bench.now)
-    only(actions, api.Refuse)
+    assert_only(actions, api.Refuse)
 
 
 def test_a_request_is_refused_when_no_host_is_known() -> None:
     bench = Bench(hosts=())
-    only(bench.request()[1], api.Refuse)
+    assert_only(bench.request()[1], api.Refuse)
 
 
 def test_a_timeout_at_the_deadline_gives_one_final_response() -> None:
@@ -56,7 +56,7 @@
 def test_a_repeated_outcome_does_not_start_another_attempt() -> None:
     bench = Bench(hosts=tuple(host_info(f"s{i}") for i in range(4)))
     name, _ = bench.request()
-    only(bench.done(name, api.Outcome.CONNECT_FAILED), api.Send)
+    assert_only(bench.done(name, api.Outcome.CONNECT_FAILED), api.Send)
     assert bench.done(name, api.Outcome.CONNECT_FAILED) == []
     assert bench.gateway.admission.restrictors[1].open == 1
 
@@ -89,8 +89,8 @@
     for outcome in (api.Outcome.FULL, api.Outcome.CONNECT_FAILED):
         bench = Bench(classes=(UNSAFE,))
         name, actions = bench.request()
-        (again,) = only(bench.done(name, outcome), api.Send)
-        assert again.host != actions[0].host
+        (retry,) = assert_only(bench.done(name, outcome), api.Send)
+        assert retry.host != actions[0].host
 
 
 def test_a_keyed_request_that_may_have_run_is_retried_in_its_cell_and_within_the_key_ttl() -> None:
@@ -98,8 +98,8 @@
     cells = {s.id: s.cell for s in hosts}
     bench = Bench(hosts=hosts, classes=(KEYED,))
     name, actions = bench.request()
-    (again,) = only(bench.done(name, api.Outcome.ERROR), api.Send)
-    assert cells[again.host] == cells[actions[0].host]
+    (retry,) = assert_only(bench.done(name, api.Outcome.ERROR), api.Send)
+    assert cells[retry.host] == cells[actions[0].host]
     bench.now += 2.0  # `key_ttl` counts from the first attempt that may have run
     assert bench.done(name, api.Outcome.ERROR, attempt=1) == [api.Fail(name)]
 
@@ -114,7 +114,7 @@
     bench = Bench()
     name, _ = bench.request()
     assert [a for a in bench.wait(3.0) if isinstance(a, api.Send | api.Cancel)] == []
-    only(bench.done(name, api.Outcome.CANCELLED), api.Refuse)  # too late for a retry
+    assert_only(bench.done(name, api.Outcome.CANCELLED), api.Refuse)  # too late for a retry
 
 
 # Draining hosts get nothing new
@@ -142,14 +142,14 @@
     bench = Bench(list_on_request=True)
     assert api.FollowList() in bench.seen
     bench.feed(api.HostList(api.ListKind.FAILED))
-    only(bench.request()[1], api.Send)
+    assert_only(bench.request()[1], api.Send)
     assert api.FollowList() in bench.wait(2.0)
 
 
 # Cold hosts are not overloaded
 
 
-def test_a_cold_host_gets_traffic_within_its_capacity() -> None:
+def test_a_cold_host_gets_traffic_but_is_not_overloaded() -> None:
     bench = Bench(hosts=(host_info("cold", started_at=99.9), host_info("warm")))
     sent = {"cold": 0, "warm": 0}
     held: list[str] = []
@@ -191,8 +191,8 @@
 def test_hundreds_of_gateways_do_not_overload_one_cold_host() -> None:
     hosts = (host_info("cold", started_at=99.9), *(host_info(f"w{i}") for i in range(19)))
     sent = fleet_sends(hosts, gateways=300, requests_each=6)
-    even = sum(sent.values()) / 20
-    assert 0.15 * even < sent["cold"] < 0.75 * even  # at most 0.48 of its full capacity after 3 s
+    mean = sum(sent.values()) / 20
+    assert 0.15 * mean < sent["cold"] < 0.75 * mean  # at most 0.48 of its full capacity after 3 s
 
 
 def test_an_all_cold_fleet_gets_no_more_than_its_capacity() -> None:
@@ -202,7 +202,7 @@
 
 
 def test_a_cold_majority_of_hosts_gets_traffic_by_its_capacity() -> None:
-    """36 of 60 hosts at 29% of their capacity have 30% of the fleet's, and get under half of an overload."""
+    """36 of 60 hosts are at 29% of their capacity: they get 30% of the load, under half of an overload."""
     cold = tuple(host_info(f"c{i}", started_at=99.9) for i in range(36))
     hosts = (*cold, *(host_info(f"w{i}") for i in range(24)))
     sent = fleet_sends(hosts, gateways=40, requests_each=40, warm_up_time=30.0, overload_multiple=4.0)
@@ -214,19 +214,20 @@
     bench = Bench(hosts=tuple(host_info(f"s{i}") for i in range(3)))
     held = [bench.request(customer=i)[0] for i in range(3)]
     bench.feed(full_list())
-    only(bench.request(customer=8)[1], api.Refuse)
+    assert_only(bench.request(customer=8)[1], api.Refuse)
     for name in held:
-        only(bench.done(name, api.Outcome.RESET, request_done=False), api.Refuse)
+        assert_only(bench.done(name, api.Outcome.RESET, request_done=False), api.Refuse)
     bench.feed(full_list(host_info("s1")))
-    only(bench.request(customer=9)[1], api.Send)
+    assert_only(bench.request(customer=9)[1], api.Send)
 
 
 def test_more_entry_gateways_than_gateways_is_no_error() -> None:
     bench = Bench(gateways=2, plans=(CAPPED,))
     bench.wait(60.0)
-    only(bench.request(entry_gateways=50)[1], api.Refuse)  # its share of the ceiling is less than one request
+    # Its share of the ceiling is less than one request.
+    assert_only(bench.request(entry_gateways=50)[1], api.Refuse)
     bench = Bench(gateways=2)
-    only(bench.request(entry_gateways=50)[1], api.Send)
+    assert_only(bench.request(entry_gateways=50)[1], api.Send)
 
 
 # Ceilings are not exceeded
@@ -234,10 +235,10 @@
 
 def test_a_new_gateway_starts_with_an_empty_share_of_the_ceiling() -> None:
     bench = Bench(plans=(CAPPED,))
-    only(bench.request()[1], api.Refuse)
+    assert_only(bench.request()[1], api.Refuse)
     bench.wait(0.25)  # 4 units a second
-    only(bench.request()[1], api.Send)
-    only(bench.request()[1], api.Refuse)
+    assert_only(bench.request()[1], api.Send)
+    assert_only(bench.request()[1], api.Refuse)
 
 
 def test_the_share_of_the_ceiling_never_exceeds_rate_and_burst() -> None:
@@ -256,11 +257,11 @@
     bench = Bench(plans=(replace(PLAN, rate=0.0, burst=0.0, open_limit=2.0),))
     first, _ = bench.request()
     bench.request()
-    only(bench.request()[1], api.Refuse)
+    assert_only(bench.request()[1], api.Refuse)
     bench.feed(api.RequestAbandoned(first))  # the client has left, the attempt is still outstanding
-    only(bench.request()[1], api.Refuse)
+    assert_only(bench.request()[1], api.Refuse)
     bench.done(first, api.Outcome.TIMEOUT)
-    only(bench.request()[1], api.Send)
+    assert_only(bench.request()[1], api.Send)
 
 
 def test_the_timeout_of_an_attempt_leaves_time_to_notice_it_however_short_the_delays_are() -> None:
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -36,15 +36,15 @@
             return super().raw_decode(s, idx)
 
     async def test() -> None:
-        told: list[int] = []
-        discovery = Discovery(("127.0.0.1", 1), (), (), lambda _, hosts, __: told.append(len(hosts)))
+        host_counts: list[int] = []
+        discovery = Discovery(("127.0.0.1", 1), (), (), lambda _, hosts, __: host_counts.append(len(hosts)))
         watch = discovery.connection = Watch(discovery)
         names = [f's-{i:08x} "{{[' for i in range(SIZE)]  # brackets in a string must not count
         message = {"index": 42, "snapshot": True, "endpoints": [entry(n, 1 + i) for i, n in enumerate(names)]}
         text = json.dumps(message, indent=indent).encode() + b"\n"
         for start in range(0, len(text), piece):
             watch.on_body(text[start : start + piece])
-        assert told == [SIZE] and set(discovery.endpoints) == set(names) and not watch.broken
+        assert host_counts == [SIZE] and set(discovery.endpoints) == set(names) and not watch.broken
         assert sum(decoded) <= 2 * len(text)
 
     monkeypatch.setattr("coralvale.net.discovery.DECODER", CountingDecoder())
@@ -70,26 +70,26 @@
 
 @pytest.mark.parametrize("gateways", [SIZE, 230, 3])
 def test_subsets_share_a_thousand_hosts_evenly_and_a_choice_compares_few(gateways: int) -> None:
-    kept, hosts = Counter[str](), fleet()
+    counts, hosts = Counter[str](), fleet()
     for index in range(gateways):
         bench = Bench(hosts, gateways=gateways, index=index)
         bench.gateway._classify_hosts(bench.now)
         assert len(bench.gateway.warm_subset) == min(SIZE, max(MIN_SUBSET_SIZE, 4 * SIZE // gateways))
-        kept.update(host.info.id for host in bench.gateway.warm_subset)
-    assert set(kept) == {s.id for s in hosts} and max(kept.values()) - min(kept.values()) <= 2
+        counts.update(host.info.id for host in bench.gateway.warm_subset)
+    assert set(counts) == {s.id for s in hosts} and max(counts.values()) - min(counts.values()) <= 2
 
-    looked_at = 0
+    compared = 0
 
     def decayed_delay_ratio(now: float) -> float:
-        nonlocal looked_at
-        looked_at += 1
+        nonlocal compared
+        compared += 1
         return 1.0
 
     for host in bench.gateway.warm_subset:
         host.decayed_delay_ratio = decayed_delay_ratio  # type: ignore[method-assign]
     name, actions = bench.request()
     assert any(isinstance(a, api.Send) for a in actions)
-    assert MIN_CANDIDATES <= looked_at <= MAX_CANDIDATES
+    assert MIN_CANDIDATES <= compared <= MAX_CANDIDATES
 
 
 def test_the_state_of_a_host_is_small_and_is_dropped_with_it() -> None:
