--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -9,7 +9,7 @@
 
 import pytest
 from helpers import Bench, full_list, host_info
-from net_helpers import Peer, answer, chunk, entry, line, request, run, settings, until, world
+from net_helpers import Peer, answer, chunk, entry, line, request, run, running_gateway, settings, until
 
 from coralvale import interface as api
 from coralvale.logic import MAX_CANDIDATES, MIN_CANDIDATES, MIN_SUBSET_SIZE
@@ -38,13 +38,13 @@
     async def test() -> None:
         host_counts: list[int] = []
         discovery = Discovery(("127.0.0.1", 1), (), (), lambda _, hosts, __: host_counts.append(len(hosts)))
-        watch = discovery.connection = Watch(discovery)
+        watch = discovery.watch = Watch(discovery)
         names = [f's-{i:08x} "{{[' for i in range(SIZE)]  # brackets in a string must not count
         message = {"index": 42, "snapshot": True, "endpoints": [entry(n, 1 + i) for i, n in enumerate(names)]}
         text = json.dumps(message, indent=indent).encode() + b"\n"
         for start in range(0, len(text), piece):
             watch.on_body(text[start : start + piece])
-        assert host_counts == [SIZE] and set(discovery.endpoints) == set(names) and not watch.broken
+        assert host_counts == [SIZE] and set(discovery.endpoints) == set(names) and not watch.malformed
         assert sum(decoded) <= 2 * len(text)
 
     monkeypatch.setattr("coralvale.net.discovery.DECODER", CountingDecoder())
@@ -55,7 +55,7 @@
     async def test() -> None:
         host = await Peer(answer(body=b"served")).start()
         known = [entry(f"s-{i}", 1 + i, status="leaving") for i in range(SIZE)]
-        async with world(*known, real=True, n_instances=SIZE, me=SIZE - 1) as w:
+        async with running_gateway(*known, real_module=True, n_instances=SIZE, me=SIZE - 1) as w:
             watch = await w.registry.watch()
             assert len(w.node.discovery.endpoints) == SIZE
             watch.reply(chunk(line(42, entry("s-last", host.port))))
@@ -112,4 +112,4 @@
     }
     config = parse_config(json.loads(json.dumps(data)))
     assert config.settings.gateways == SIZE and config.settings.index == SIZE - 1
-    assert len(config.known["endpoints"]) == SIZE
+    assert len(config.known_hosts["endpoints"]) == SIZE
