--- a/testbed/standins/counter.py
+++ b/testbed/standins/counter.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from testbed.standins.http import Message, answer, read_message
+from testbed.standins.http import Message, http_response, read_message
 
 CALL = re.compile(rb"POST /tally/(\d+)\?n=(-?[\d.]+)&keep_ms=(\d+) HTTP/1\.1")
 MOST_LIFE = 60.0  # s
@@ -124,9 +124,9 @@
 
     async def _answer(self, caller: int, call: Waiting, fate: Fate, writer: asyncio.StreamWriter) -> bool:
         """Answers one call; tells whether the connection goes on."""
-        match = CALL.fullmatch(call.message.first)
+        match = CALL.fullmatch(call.message.start_line)
         if not match:
-            writer.write(answer(400, b""))
+            writer.write(http_response(400, b""))
             return True
         name, amount, life = int(match[1]), float(match[2]), int(match[3]) / 1000
         await asyncio.sleep(max(0.0, call.came_at + self.delay() - time.monotonic()))
@@ -140,5 +140,5 @@
             return False
         if not writer.is_closing():
             body = b"<html>" if fate is Fate.SPOILT else f"{total:.6f}".encode()
-            writer.write(answer(503, b"") if fate is Fate.REFUSED else answer(200, body))
+            writer.write(http_response(503, b"") if fate is Fate.REFUSED else http_response(200, body))
         return True
--- a/testbed/standins/discovery.py
+++ b/testbed/standins/discovery.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from testbed.standins.http import answer, chunk, read_message
-from testbed.standins.lists import WATCH_HEAD, entry, line
+from testbed.standins.http import chunk, http_response, read_message
+from testbed.standins.lists import WATCH_RESPONSE_HEAD, host_entry, list_message
 
 HEARTBEAT = 2.0  # s between empty lines
 WATCH = re.compile(rb"GET /discovery/hosts\?stream=1(?:&index=(\d+))? HTTP/1\.1")
@@ -28,7 +28,7 @@
     started: float  # Unix time of its last start, nought for long ago
 
     def as_entry(self) -> dict[str, Any]:
-        return entry(self.name, self.port, status=self.status, since_ms=round(self.started * 1000))
+        return host_entry(self.name, self.port, status=self.status, since_ms=round(self.started * 1000))
 
 
 @dataclass(eq=False)
@@ -88,9 +88,9 @@
         if after is not None and not self.whole_lists:
             changes = {listed.name: listed for index, listed in self.history if index > after}
             listed = list(changes.values())
-            return line(self.index, *[each.as_entry() for each in listed]), listed
+            return list_message(self.index, *[each.as_entry() for each in listed]), listed
         listed = [h for h in self.hosts.values() if h.status == "active" or not self.whole_lists]
-        return line(self.index, *[each.as_entry() for each in listed], snapshot=True), listed
+        return list_message(self.index, *[each.as_entry() for each in listed], snapshot=True), listed
 
     def known(self) -> dict[str, Any]:
         """The whole list as a configuration holds it."""
@@ -119,9 +119,9 @@
         try:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
                 message = await read_message(reader)
-                match = WATCH.fullmatch(message.first)
+                match = WATCH.fullmatch(message.start_line)
                 if match is None:
-                    writer.write(answer(404, b""))
+                    writer.write(http_response(404, b""))
                     return
                 while self.registry.is_down:
                     await asyncio.sleep(DOWN_RETRY)
@@ -134,7 +134,7 @@
         self.watches.add(watch)
         gone = asyncio.ensure_future(reader.read())
         try:
-            watch.writer.write(WATCH_HEAD)
+            watch.writer.write(WATCH_RESPONSE_HEAD)
             if after is None or after != self.registry.index:
                 self._tell(watch, after)
             while not gone.done():
--- a/testbed/standins/hosts.py
+++ b/testbed/standins/hosts.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from testbed.standins.http import Message, answer, parse_head
+from testbed.standins.http import Message, http_response, parse_head
 from testbed.standins.ports import free_port
 
 LEAST_SERVICE, MOST_SERVICE = 0.005, 0.04  # s that a request takes
@@ -97,10 +97,10 @@
                 writer.transport.abort()
                 return False
             if mode is Mode.TURNS_AWAY:
-                writer.write(answer(503, b"", X_Not_Processed="1"))
+                writer.write(http_response(503, b"", X_Not_Processed="1"))
                 return True
             await asyncio.sleep(self.service_time())
-            writer.write(answer(200, arrival.request.encode()))
+            writer.write(http_response(200, arrival.request.encode()))
             return True
         finally:
             self.on_end(self, arrival, never_ran)
--- a/testbed/standins/http.py
+++ b/testbed/standins/http.py
@@ -10,23 +10,23 @@
 class Message:
     """An HTTP message as it came."""
 
-    first: bytes
+    start_line: bytes
     headers: dict[bytes, bytes]
     body: bytes
 
     @property
     def status(self) -> int:
-        return int(self.first.split(b" ")[1])
+        return int(self.start_line.split(b" ")[1])
 
 
 def parse_head(head: bytes) -> Message:
     """A message without its body, from all bytes up to the empty line; header names in lower case."""
-    first, *lines = head[:-4].split(b"\r\n")
+    start_line, *lines = head[:-4].split(b"\r\n")
     headers = {}
     for line in lines:
         name, _, value = line.partition(b":")
         headers[name.lower()] = value.strip()
-    return Message(first, headers, b"")
+    return Message(start_line, headers, b"")
 
 
 async def read_message(reader: asyncio.StreamReader) -> Message:
@@ -36,7 +36,7 @@
     return message
 
 
-def answer(status: int = 200, body: bytes = b"ok", **headers: str) -> bytes:
+def http_response(status: int = 200, body: bytes = b"ok", **headers: str) -> bytes:
     """An answer with its length; an underscore in a header's name stands for a hyphen."""
     lines = [f"HTTP/1.1 {status} x", f"Content-Length: {len(body)}"]
     lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
--- a/testbed/standins/peer.py
+++ b/testbed/standins/peer.py
@@ -8,11 +8,11 @@
 
 from testbed.standins.http import Message, read_message
 
-LIMIT = 20.0  # s within which anything that a test waits for must have happened
+TEST_TIMEOUT_S = 20.0  # s within which anything that a test waits for must have happened
 
 
 @dataclass
-class Arrived:
+class ReceivedRequest:
     """A request at a fake host or counter, and the connection to answer it on."""
 
     message: Message
@@ -30,16 +30,19 @@
 
 
 @dataclass
-class Peer:
-    """A server on a port of its own: every request it gets is put into `arrived`; `auto` answers at once."""
+class FakeServer:
+    """A server that puts each request it receives into `requests`, for a test to answer.
 
-    auto: bytes | None = None
-    arrived: asyncio.Queue[Arrived] = field(default_factory=asyncio.Queue)
+    Where `auto_response` is set, it is sent at once as the response to each request.
+    """
+
+    auto_response: bytes | None = None
+    requests: asyncio.Queue[ReceivedRequest] = field(default_factory=asyncio.Queue)
     connections: int = 0
     closed: int = 0
     writers: list[asyncio.StreamWriter] = field(default_factory=list)
 
-    async def start(self, port: int = 0) -> Peer:
+    async def start(self, port: int = 0) -> FakeServer:
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", port)
         self.port = int(self.server.sockets[0].getsockname()[1])
         return self
@@ -54,15 +57,15 @@
         self.writers.append(writer)
         with contextlib.suppress(OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
             while True:
-                arrived = Arrived(await read_message(reader), writer, number)
-                if self.auto is not None:
-                    writer.write(self.auto)
-                self.arrived.put_nowait(arrived)
+                request = ReceivedRequest(await read_message(reader), writer, number)
+                if self.auto_response is not None:
+                    writer.write(self.auto_response)
+                self.requests.put_nowait(request)
         self.closed += 1
         writer.close()
 
-    async def next(self) -> Arrived:
-        return await asyncio.wait_for(self.arrived.get(), LIMIT)
+    async def next_request(self) -> ReceivedRequest:
+        return await asyncio.wait_for(self.requests.get(), TEST_TIMEOUT_S)
 
     def stop(self) -> None:
         self.server.close()
--- a/tests/net_helpers.py
+++ b/tests/net_helpers.py
@@ -18,12 +18,12 @@
 from coralvale.net.node import Node
 from coralvale.net.upstream import Upstreams
 from testbed.standins.http import Message, read_message
-from testbed.standins.http import answer as answer
 from testbed.standins.http import chunk as chunk
-from testbed.standins.lists import WATCH_HEAD
-from testbed.standins.lists import entry as entry
-from testbed.standins.lists import line as line
-from testbed.standins.peer import LIMIT, Arrived, Peer
+from testbed.standins.http import http_response as http_response
+from testbed.standins.lists import WATCH_RESPONSE_HEAD
+from testbed.standins.lists import host_entry as host_entry
+from testbed.standins.lists import list_message as list_message
+from testbed.standins.peer import TEST_TIMEOUT_S, FakeServer, ReceivedRequest
 
 SETTINGS: dict[str, Any] = {
     "n_instances": 3,
@@ -65,10 +65,10 @@
 
 
 def run(test: Coroutine[Any, Any, None]) -> None:
-    """Runs a test on uvloop, as the program does; cancels it after 3 * LIMIT seconds."""
+    """Runs a test on uvloop, as the program does; cancels it after 3 * TEST_TIMEOUT_S seconds."""
 
     async def limited() -> None:
-        async with asyncio.timeout(3 * LIMIT):
+        async with asyncio.timeout(3 * TEST_TIMEOUT_S):
             await test
 
     uvloop.run(limited())
@@ -113,13 +113,13 @@
 
 
 async def with_timeout(awaitable: Awaitable[Any]) -> Any:
-    """Awaits for at most LIMIT seconds."""
-    return await asyncio.wait_for(awaitable, LIMIT)
+    """Awaits for at most TEST_TIMEOUT_S seconds."""
+    return await asyncio.wait_for(awaitable, TEST_TIMEOUT_S)
 
 
 async def until(condition: Callable[[], object]) -> None:
-    """Polls until a condition holds, for at most LIMIT seconds."""
-    async with asyncio.timeout(LIMIT):
+    """Polls until a condition holds, for at most TEST_TIMEOUT_S seconds."""
+    async with asyncio.timeout(TEST_TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0.002)
 
@@ -142,13 +142,13 @@
             each.close()
 
 
-class Registry(Peer):
+class Registry(FakeServer):
     """A fake discovery: answers each watch with a response head; the test sends the messages."""
 
-    async def watch(self) -> Arrived:
+    async def watch(self) -> ReceivedRequest:
         """Waits for the next watch and sends it the response head."""
-        watch = await self.next()
-        watch.reply(WATCH_HEAD)
+        watch = await self.next_request()
+        watch.reply(WATCH_RESPONSE_HEAD)
         return watch
 
 
@@ -243,7 +243,7 @@
 
     node: Node
     registry: Registry
-    counter: Peer
+    counter: FakeServer
     script: ScriptedGateway  # decides, unless the gateway was started with `real_module`
     clients: list[Client] = field(default_factory=list)
 
@@ -267,7 +267,7 @@
     *known_hosts: dict[str, Any], real_module: bool = False, sockets: int = 256, **changes: dict[str, Any]
 ) -> AsyncIterator[RunningGateway]:
     """Starts a gateway with an initial host list; a script decides for it unless `real_module` is set."""
-    registry, counter = Registry(), Peer()
+    registry, counter = Registry(), FakeServer()
     await registry.start()
     await counter.start()
     config = parse_config(
--- a/tests/test_counter_calls.py
+++ b/tests/test_counter_calls.py
@@ -8,7 +8,7 @@
 from collections.abc import AsyncIterator
 
 import pytest
-from net_helpers import Arrived, Peer, answer, run, until, with_timeout
+from net_helpers import FakeServer, ReceivedRequest, http_response, run, until, with_timeout
 
 from coralvale.interface import CounterReply
 from coralvale.net.counter import CounterClient
@@ -17,22 +17,22 @@
 @contextlib.asynccontextmanager
 async def counter(
     time_out: float = 20.0,
-) -> AsyncIterator[tuple[CounterClient, Peer, asyncio.Queue[CounterReply]]]:
-    peer, replies = await Peer().start(), asyncio.Queue[CounterReply]()
+) -> AsyncIterator[tuple[CounterClient, FakeServer, asyncio.Queue[CounterReply]]]:
+    peer, replies = await FakeServer().start(), asyncio.Queue[CounterReply]()
     yield CounterClient(peer.address, time_out, 5.0, replies.put_nowait), peer, replies
     peer.stop()
 
 
 def total(value: str) -> bytes:
-    return answer(body=value.encode())
+    return http_response(body=value.encode())
 
 
 def test_a_call_names_amount_and_life_and_gets_the_total() -> None:
     async def test() -> None:
         async with counter() as (calls, peer, replies):
             calls.add(8, -2.5, 4.0)
-            arrived = await peer.next()
-            assert arrived.message.first == b"POST /tally/8?n=-2.500000&keep_ms=4000 HTTP/1.1"
+            arrived = await peer.next_request()
+            assert arrived.message.start_line == b"POST /tally/8?n=-2.500000&keep_ms=4000 HTTP/1.1"
             arrived.reply(total("38.5"))
             assert await with_timeout(replies.get()) == CounterReply(8, True, 38.5)
 
@@ -44,7 +44,7 @@
         async with counter() as (calls, peer, replies):
             for amount in (1.0, 2.0, 3.0):
                 calls.add(8, amount, 4.0)
-            arrived: list[Arrived] = [await peer.next() for _ in range(3)]
+            arrived: list[ReceivedRequest] = [await peer.next_request() for _ in range(3)]
             assert {a.connection for a in arrived} == {1}
             for i, a in enumerate(arrived):
                 a.reply(total(str(i)))
@@ -56,10 +56,10 @@
 @pytest.mark.parametrize(
     ("reply", "maybe"),
     [
-        (answer(503), False),
-        (answer(400), False),
-        (answer(404), False),
-        (answer(500), True),
+        (http_response(503), False),
+        (http_response(400), False),
+        (http_response(404), False),
+        (http_response(500), True),
         (total("x"), True),
     ],
 )
@@ -67,7 +67,7 @@
     async def test() -> None:
         async with counter() as (calls, peer, replies):
             calls.add(8, 1.0, 4.0)
-            (await peer.next()).reply(reply)
+            (await peer.next_request()).reply(reply)
             assert await with_timeout(replies.get()) == CounterReply(8, False, 0.0, maybe_added=maybe)
 
     run(test())
@@ -77,7 +77,7 @@
     async def test() -> None:
         async with counter() as (calls, peer, replies):
             calls.add(8, 1.0, 4.0)
-            (await peer.next()).reset()
+            (await peer.next_request()).reset()
             assert await with_timeout(replies.get()) == CounterReply(8, False, 0.0, maybe_added=True)
             with socket.socket() as closed:
                 closed.bind(("127.0.0.1", 0))
@@ -86,7 +86,7 @@
                 assert await with_timeout(replies.get()) == CounterReply(8, False, 0.0, maybe_added=False)
             calls.address = peer.address
             calls.add(8, 1.0, 4.0)
-            (await peer.next()).reply(total("1"))
+            (await peer.next_request()).reply(total("1"))
             assert (await with_timeout(replies.get())).ok
 
     run(test())
@@ -96,11 +96,11 @@
     async def test() -> None:
         async with counter(time_out=0.05) as (calls, peer, replies):
             calls.add(8, 1.0, 4.0)
-            late = await peer.next()
+            late = await peer.next_request()
             assert await with_timeout(replies.get()) == CounterReply(8, False, 0.0, maybe_added=True)
             calls.timeout = 20.0
             calls.add(8, 1.0, 4.0)
-            own = await peer.next()
+            own = await peer.next_request()
             assert own.connection == late.connection
             late.reply(total("100"))
             own.reply(total("200"))
@@ -118,8 +118,8 @@
             await until(lambda: peer.closed == 1)
             calls.timeout = 20.0
             calls.add(8, 1.0, 4.0)
-            await peer.next()
-            (await peer.next()).reply(total("1"))
+            await peer.next_request()
+            (await peer.next_request()).reply(total("1"))
             assert (await with_timeout(replies.get())).ok and peer.connections == 2
 
     monkeypatch.setattr("coralvale.net.counter.STALL_TIMEOUT_S", 0.01)
@@ -130,7 +130,7 @@
     async def test() -> None:
         async with counter() as (calls, peer, replies):
             calls.add(8, 1.0, 4.0)
-            (await peer.next()).reply(total("1"))
+            (await peer.next_request()).reply(total("1"))
             assert (await with_timeout(replies.get())).ok
             await until(lambda: peer.closed == 1)
 
@@ -142,7 +142,7 @@
     async def test() -> None:
         async with counter() as (calls, peer, replies):
             calls.add(8, 1.0, 4.0)
-            arrived = await peer.next()
+            arrived = await peer.next_request()
             calls.drain()
             arrived.reply(total("3"))
             assert await with_timeout(replies.get()) == CounterReply(8, True, 3.0)
@@ -156,7 +156,7 @@
     async def test() -> None:
         async with counter() as (calls, peer, replies):
             calls.add(8, 1.0, 4.0)
-            await peer.next()
+            await peer.next_request()
             calls.drain()
             peer.stop()
             assert await with_timeout(replies.get()) == CounterReply(8, False, 0.0, maybe_added=True)
@@ -174,11 +174,11 @@
     async def test() -> None:
         async with counter() as (calls, peer, replies):
             calls.add(8, 1.0, 4.0)
-            (await peer.next()).reply(answer(body=body))
+            (await peer.next_request()).reply(http_response(body=body))
             assert await with_timeout(replies.get()) == CounterReply(8, False, 0.0, maybe_added=True)
             await until(lambda: peer.closed == 1)
             calls.add(8, 1.0, 4.0)
-            (await peer.next()).reply(total("2"))
+            (await peer.next_request()).reply(total("2"))
             assert await with_timeout(replies.get()) == CounterReply(8, True, 2.0)
 
     run(test())
@@ -191,8 +191,8 @@
         async with counter() as (calls, peer, replies):
             calls.add(8, 1.0, 4.0)
             calls.add(8, 2.0, 4.0)
-            await peer.next()
-            (await peer.next()).reply(answer(body=b"<html>") + total("77"))
+            await peer.next_request()
+            (await peer.next_request()).reply(http_response(body=b"<html>") + total("77"))
             for _ in range(2):
                 assert await with_timeout(replies.get()) == CounterReply(8, False, 0.0, maybe_added=True)
             await until(lambda: peer.closed == 1)
@@ -204,11 +204,11 @@
     async def test() -> None:
         async with counter() as (calls, peer, replies):
             calls.add(8, 1.0, 4.0)
-            (await peer.next()).reply(total("5") + total("77"))
+            (await peer.next_request()).reply(total("5") + total("77"))
             assert await with_timeout(replies.get()) == CounterReply(8, True, 5.0)
             await until(lambda: peer.closed == 1)
             calls.add(8, 1.0, 4.0)
-            (await peer.next()).reply(total("6"))
+            (await peer.next_request()).reply(total("6"))
             assert await with_timeout(replies.get()) == CounterReply(8, True, 6.0)
 
     run(test())
@@ -218,7 +218,7 @@
     async def test() -> None:
         async with counter() as (calls, peer, replies):
             calls.add(8, 1.0, 4.0)
-            (await peer.next()).reply(b"HTTP/1.1 200 OK\r\nX: " + b"x" * 100_000)
+            (await peer.next_request()).reply(b"HTTP/1.1 200 OK\r\nX: " + b"x" * 100_000)
             assert await with_timeout(replies.get()) == CounterReply(8, False, 0.0, maybe_added=True)
             await until(lambda: peer.closed == 1)
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -13,14 +13,14 @@
 
 import pytest
 from net_helpers import (
-    LIMIT,
-    WATCH_HEAD,
+    TEST_TIMEOUT_S,
+    WATCH_RESPONSE_HEAD,
     FullListener,
     Registry,
-    answer,
     chunk,
-    entry,
-    line,
+    host_entry,
+    http_response,
+    list_message,
     run,
     run_in_fake_time,
     until,
@@ -48,7 +48,9 @@
 
 
 @contextlib.asynccontextmanager
-async def bench(max_silence: float = LIMIT, queued_callers: int = 0, **limits: float) -> AsyncIterator[Bench]:
+async def bench(
+    max_silence: float = TEST_TIMEOUT_S, queued_callers: int = 0, **limits: float
+) -> AsyncIterator[Bench]:
     registry = Registry()
     await registry.start()
     discovery = Discovery(
@@ -62,7 +64,8 @@
     )
     result = Bench(registry, discovery)
     discovery.apply(
-        {"index": 41, "snapshot": True, "endpoints": [entry("s-1", 1), entry("s-2", 2)]}, cached=True
+        {"index": 41, "snapshot": True, "endpoints": [host_entry("s-1", 1), host_entry("s-2", 2)]},
+        cached=True,
     )
     task = asyncio.create_task(discovery.run())
     yield result
@@ -77,7 +80,7 @@
             assert kind is api.ListKind.CACHED
             assert hosts[0] == api.HostInfo("s-1", api.HostState.HEALTHY, 1.0, zone=1, cell=1, kind=1)
             watch = await b.registry.watch()
-            assert watch.message.first == b"GET /discovery/hosts?stream=1&index=41 HTTP/1.1"
+            assert watch.message.start_line == b"GET /discovery/hosts?stream=1&index=41 HTTP/1.1"
 
     run(test())
 
@@ -87,13 +90,13 @@
         async with bench() as b:
             await b.next_change()
             watch = await b.registry.watch()
-            message = line(
-                42, entry("s-1", 1, status="leaving"), entry("s-3", 3, zone="north", since_ms=1500)
+            message = list_message(
+                42, host_entry("s-1", 1, status="leaving"), host_entry("s-3", 3, zone="north", since_ms=1500)
             )
             watch.reply(
                 chunk(b"\n")
                 + chunk(message[:50])
-                + chunk(message[50:] + line(43, entry("s-2", 2, status="left")))
+                + chunk(message[50:] + list_message(43, host_entry("s-2", 2, status="left")))
             )
             kind, hosts, retired = await b.next_change()
             assert kind is api.ListKind.CHANGES and retired == [("s-1", 0.0, ("127.0.0.1", 1))]
@@ -102,11 +105,11 @@
             _, (gone,), retired = await b.next_change()
             assert gone.state is api.HostState.GONE and ("s-2", 0.0, ("127.0.0.1", 2)) in retired
             assert set(b.discovery.endpoints) == {"s-1", "s-3"}
-            watch.reply(chunk(line(50, entry("s-4", 4), snapshot=True)))
+            watch.reply(chunk(list_message(50, host_entry("s-4", 4), snapshot=True)))
             kind, _, _ = await b.next_change()
             assert kind is api.ListKind.FULL and set(b.discovery.endpoints) == {"s-4"}
             watch.close()
-            assert b"index=50 " in (await b.registry.watch()).message.first
+            assert b"index=50 " in (await b.registry.watch()).message.start_line
 
     run(test())
 
@@ -116,7 +119,7 @@
         async with bench() as b:
             await b.next_change()
             watch = await b.registry.watch()
-            watch.reply(chunk(line(42, entry("s-1", 1, since_ms=9000), entry("s-2", 22))))
+            watch.reply(chunk(list_message(42, host_entry("s-1", 1, since_ms=9000), host_entry("s-2", 22))))
             assert (await b.next_change())[2] == [
                 ("s-1", 0.0, ("127.0.0.1", 1)),
                 ("s-2", 0.0, ("127.0.0.1", 2)),
@@ -130,12 +133,12 @@
 
     async def test() -> None:
         async with bench() as b:
-            leaving, instance = entry("s-1", 1, status="leaving"), ("s-1", 0.0, ("127.0.0.1", 1))
+            leaving, instance = host_entry("s-1", 1, status="leaving"), ("s-1", 0.0, ("127.0.0.1", 1))
             await b.next_change()
             for snapshot in (False, False, True):
                 b.discovery.apply({"index": 42, "endpoints": [leaving], "snapshot": snapshot})
                 assert b.discovery.endpoints["s-1"].draining and instance in (await b.next_change())[2]
-            b.discovery.apply({"index": 45, "endpoints": [entry("s-1", 1, since_ms=9000)]})
+            b.discovery.apply({"index": 45, "endpoints": [host_entry("s-1", 1, since_ms=9000)]})
             assert not b.discovery.endpoints["s-1"].draining
 
     run(test())
@@ -146,7 +149,7 @@
         async with bench(max_silence=0.05) as b:
             await b.registry.watch()
             second = await b.registry.watch()
-            assert b"index=41 " in second.message.first
+            assert b"index=41 " in second.message.start_line
 
     run(test())
 
@@ -156,9 +159,9 @@
         async with bench() as b:
             await b.next_change()
             (await b.registry.watch()).reply(chunk(b"{nonsense\n"))
-            (await b.registry.next()).reply(answer(503, b""))
+            (await b.registry.next_request()).reply(http_response(503, b""))
             watch = await b.registry.watch()
-            watch.reply(chunk(line(44, {"name": "s-9"}, entry("s-5", 5))))
+            watch.reply(chunk(list_message(44, {"name": "s-9"}, host_entry("s-5", 5))))
             assert [host.id for host in (await b.next_change())[1]] == ["s-5"]
 
     run(test())
@@ -170,11 +173,11 @@
     async def test() -> None:
         async with bench(drain_grace=1.0) as b:
             for _ in range(6):  # accepted and left unanswered, until the backoff is at its maximum
-                await b.registry.next()
+                await b.registry.next_request()
             returned = asyncio.get_running_loop().time()  # just too late for the last call
             watch = await b.registry.watch()
             assert asyncio.get_running_loop().time() - returned < 1.0
-            watch.reply(chunk(line(42, entry("s-1", 1, status="leaving"))))
+            watch.reply(chunk(list_message(42, host_entry("s-1", 1, status="leaving"))))
             await b.next_change()
             assert (await b.next_change())[1][0].state is api.HostState.DRAINING
 
@@ -221,18 +224,20 @@
             await reader.readuntil(b"\r\n\r\n")
             if loop.time() > self.back_at:
                 await asyncio.sleep(self.response_time)
-                writer.write(WATCH_HEAD + chunk(line(42, entry("s-1", 1, status="leaving"))))
+                writer.write(
+                    WATCH_RESPONSE_HEAD + chunk(list_message(42, host_entry("s-1", 1, status="leaving")))
+                )
             elif self.failure == "responds 503":
-                writer.write(answer(503, b""))
+                writer.write(http_response(503, b""))
             elif self.failure == "sends half a message and closes":
-                writer.write(WATCH_HEAD + chunk(line(42, entry("s-9", 1))[:30]))
+                writer.write(WATCH_RESPONSE_HEAD + chunk(list_message(42, host_entry("s-9", 1))[:30]))
                 writer.close()
             elif self.failure == "sends half a message":
-                writer.write(WATCH_HEAD + chunk(line(42, entry("s-9", 1))[:30]))
+                writer.write(WATCH_RESPONSE_HEAD + chunk(list_message(42, host_entry("s-9", 1))[:30]))
             elif self.failure == "falls silent" and self.calls == 1:
-                writer.write(WATCH_HEAD + chunk(b"\n"))
+                writer.write(WATCH_RESPONSE_HEAD + chunk(b"\n"))
             elif self.failure == "resets" and self.calls == 1:
-                writer.write(WATCH_HEAD + chunk(b"\n"))
+                writer.write(WATCH_RESPONSE_HEAD + chunk(b"\n"))
                 await asyncio.sleep(1.0)
                 writer.transport.abort()
 
@@ -286,7 +291,7 @@
         }
         discovery = Discovery(agent.address, (), (), on_change, **limits)
         discovery.random = LongestDelay()
-        discovery.apply({"index": 41, "endpoints": [entry("s-1", 1)]}, cached=True)
+        discovery.apply({"index": 41, "endpoints": [host_entry("s-1", 1)]}, cached=True)
         task = asyncio.create_task(discovery.run())
         # If the watch falls silent or is reset, the change comes right after; else calls fail for a while.
         await asyncio.sleep(
@@ -317,11 +322,11 @@
     async def test() -> None:
         async with bench(max_silence=0.2, queued_callers=1) as b:
             await b.next_change()
-            (await b.registry.watch()).reply(chunk(line(42, entry("s-3", 3))))
+            (await b.registry.watch()).reply(chunk(list_message(42, host_entry("s-3", 3))))
             await b.next_change()
             await b.registry.watch()
 
-    monkeypatch.setattr("coralvale.net.discovery.QUEUED_RESPONSE_TIMEOUT_S", 10 * LIMIT)
+    monkeypatch.setattr("coralvale.net.discovery.QUEUED_RESPONSE_TIMEOUT_S", 10 * TEST_TIMEOUT_S)
     run(test())
 
 
@@ -333,7 +338,9 @@
         async with bench() as b:
             await b.next_change()
             watch = await b.registry.watch()
-            watch.reply(chunk(line(42, {**entry("s-3", 3), "address": address}, entry("s-4", 4))))
+            watch.reply(
+                chunk(list_message(42, {**host_entry("s-3", 3), "address": address}, host_entry("s-4", 4)))
+            )
             assert [host.id for host in (await b.next_change())[1]] == ["s-4"]
 
     run(test())
@@ -344,7 +351,7 @@
         async with bench() as b:
             await b.registry.watch()
             b.discovery.refresh()
-            assert (await b.registry.watch()).message.first == b"GET /discovery/hosts?stream=1 HTTP/1.1"
+            assert (await b.registry.watch()).message.start_line == b"GET /discovery/hosts?stream=1 HTTP/1.1"
 
     run(test())
 
@@ -358,10 +365,10 @@
             await other.start()
             b.discovery.move(other.address)
             watch = await other.watch()
-            assert watch.message.first == b"GET /discovery/hosts?stream=1 HTTP/1.1"
+            assert watch.message.start_line == b"GET /discovery/hosts?stream=1 HTTP/1.1"
             assert set(b.discovery.endpoints) == {"s-1", "s-2"}
             await until(lambda: b.registry.closed == 1)
-            watch.reply(chunk(line(3, entry("s-4", 4), snapshot=True)))
+            watch.reply(chunk(list_message(3, host_entry("s-4", 4), snapshot=True)))
             kind, hosts, _ = await b.next_change()
             assert kind is api.ListKind.FULL and [host.id for host in hosts] == ["s-4"]
             other.stop()
@@ -376,7 +383,7 @@
         async with bench() as b:
             await b.next_change()
             b.registry.stop()
-            b.discovery.backoff = 10 * LIMIT
+            b.discovery.backoff = 10 * TEST_TIMEOUT_S
             other = Registry()
             await other.start()
             full = FullListener()
@@ -404,7 +411,7 @@
         async with bench() as b:
             await b.next_change()
             watch = await b.registry.watch()
-            watch.reply(chunk(bad + line(42, entry("s-3", 3))))
+            watch.reply(chunk(bad + list_message(42, host_entry("s-3", 3))))
             _, hosts, _ = await b.next_change()
             assert [host.id for host in hosts] == ["s-3"] and set(b.discovery.endpoints) == {
                 "s-1",
@@ -412,7 +419,7 @@
                 "s-3",
             }
             again = await b.registry.watch()
-            assert again.message.first == b"GET /discovery/hosts?stream=1 HTTP/1.1"
+            assert again.message.start_line == b"GET /discovery/hosts?stream=1 HTTP/1.1"
 
     run(test())
 
@@ -426,12 +433,12 @@
         async with bench() as b:
             await b.next_change()
             watch = await b.registry.watch()
-            entries = [entry("s-3", 3, zone="}\u00e9{"), entry("s-4", 4)]
+            entries = [host_entry("s-3", 3, zone="}\u00e9{"), host_entry("s-4", 4)]
             message = {"index": 42, "snapshot": True, "endpoints": entries}
             text = (
                 json.dumps(message, indent=indent, ensure_ascii=False)
                 + "\n\n"
-                + line(43, entry("s-5", 5)).decode()
+                + list_message(43, host_entry("s-5", 5)).decode()
             )
             data = text.encode()
             for at in range(0, len(data), piece):
@@ -450,10 +457,10 @@
         async with bench() as b:
             await b.next_change()
             watch = await b.registry.watch()
-            watch.reply(chunk(line(42, entry("s-3", 3))[:60] + b"\n"))
+            watch.reply(chunk(list_message(42, host_entry("s-3", 3))[:60] + b"\n"))
             watch.reply(chunk(b"\n"))
             again = await b.registry.watch()
-            assert again.message.first == b"GET /discovery/hosts?stream=1 HTTP/1.1"
+            assert again.message.start_line == b"GET /discovery/hosts?stream=1 HTTP/1.1"
 
     run(test())
 
@@ -463,8 +470,8 @@
         async with bench() as b:
             await b.next_change()
             watch = await b.registry.watch()
-            half = json.dumps({"index": 42, "endpoints": [entry("s-7", 7)]}, indent=2)[:60].encode()
-            watch.reply(chunk(half + b"\n") + chunk(line(43, entry("s-8", 8))))
+            half = json.dumps({"index": 42, "endpoints": [host_entry("s-7", 7)]}, indent=2)[:60].encode()
+            watch.reply(chunk(half + b"\n") + chunk(list_message(43, host_entry("s-8", 8))))
             assert [host.id for host in (await b.next_change())[1]] == ["s-8"]
 
     run(test())
@@ -477,10 +484,10 @@
         async with bench() as b:
             await b.next_change()
             watch = await b.registry.watch()
-            watch.reply(chunk(line(7, entry("s-3", 3))))
+            watch.reply(chunk(list_message(7, host_entry("s-3", 3))))
             again = await b.registry.watch()
-            assert again.message.first == b"GET /discovery/hosts?stream=1 HTTP/1.1"
-            again.reply(chunk(line(8, entry("s-3", 3), snapshot=True)))
+            assert again.message.start_line == b"GET /discovery/hosts?stream=1 HTTP/1.1"
+            again.reply(chunk(list_message(8, host_entry("s-3", 3), snapshot=True)))
             await until(lambda: set(b.discovery.endpoints) == {"s-3"})
             assert b.discovery.index == 8 and b.registry.connections == 2
 
@@ -495,12 +502,15 @@
         async with bench() as b:
             await b.next_change()
             watch = await b.registry.watch()
-            watch.reply(chunk(line(42, entry("s-3", 3))) + chunk(line(43, entry("s-4", 4)))[:piece])
+            watch.reply(
+                chunk(list_message(42, host_entry("s-3", 3)))
+                + chunk(list_message(43, host_entry("s-4", 4)))[:piece]
+            )
             last = 42 if piece else 43
             await until(lambda: b.discovery.index == last)
             watch.reset()
             again = await b.registry.watch()
-            assert again.message.first.endswith(b"&index=%d HTTP/1.1" % last)
+            assert again.message.start_line.endswith(b"&index=%d HTTP/1.1" % last)
 
     run(test())
 
@@ -512,10 +522,10 @@
             watch = await b.registry.watch()
             message = {"index": "x", "snapshot": True}
             entries: list[Any] = [
-                entry("s-1", 1, weight="heavy"),
+                host_entry("s-1", 1, weight="heavy"),
                 7,
-                entry("s-4", 4),
-                entry("s-5", 5, weight=1e999),
+                host_entry("s-4", 4),
+                host_entry("s-5", 5, weight=1e999),
             ]
             watch.reply(chunk(json.dumps({**message, "endpoints": entries}).encode() + b"\n"))
             kind, hosts, _ = await b.next_change()
@@ -531,10 +541,10 @@
 
     async def test() -> None:
         async with bench(max_silence=0.05, queued_callers=1) as b:
-            arrived = await b.registry.next()
+            arrived = await b.registry.next_request()
             with pytest.raises(TimeoutError):
-                await asyncio.wait_for(b.registry.next(), 0.4)
-            arrived.reply(WATCH_HEAD + chunk(line(42, entry("s-3", 3))))
+                await asyncio.wait_for(b.registry.next_request(), 0.4)
+            arrived.reply(WATCH_RESPONSE_HEAD + chunk(list_message(42, host_entry("s-3", 3))))
             await b.next_change()
             await b.next_change()
             assert set(b.discovery.endpoints) == {"s-1", "s-2", "s-3"}
@@ -563,6 +573,6 @@
     async def test() -> None:
         async with bench() as b:
             b.discovery.follow()
-            assert (await b.registry.watch()).message.first.endswith(b"&index=41 HTTP/1.1")
+            assert (await b.registry.watch()).message.start_line.endswith(b"&index=41 HTTP/1.1")
 
     run(test())
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -16,15 +16,15 @@
 import pytest
 from net_helpers import (
     SETTINGS,
+    FakeServer,
     ManualClock,
-    Peer,
     Registry,
     RunningGateway,
-    answer,
     chunk,
-    entry,
     hold_connects,
-    line,
+    host_entry,
+    http_response,
+    list_message,
     request,
     run,
     run_in_fake_time,
@@ -59,19 +59,19 @@
 @pytest.mark.parametrize(("cls", "method"), [("read", b"GET"), ("write", b"POST")])
 def test_a_request_and_its_response_are_passed_on_unchanged(cls: str, method: bytes) -> None:
     async def test() -> None:
-        host = await Peer().start()
-        async with running_gateway(entry("s-1", host.port)) as w:
+        host = await FakeServer().start()
+        async with running_gateway(host_entry("s-1", host.port)) as w:
             send_all(w, "s-1")
             client = await w.client()
             body = os.urandom(60_000) if cls == "write" else b""
             client.send(request("id-1", cls, target="/api?a=%20b&c", body=body, Accept="x/y"))
-            arrived = await host.next()
-            assert arrived.message.first == method + b" /api?a=%20b&c HTTP/1.1"
+            arrived = await host.next_request()
+            assert arrived.message.start_line == method + b" /api?a=%20b&c HTTP/1.1"
             assert arrived.message.headers[b"x-request-id"] == b"id-1" and arrived.message.body == body
             assert arrived.message.headers[b"accept"] == b"x/y"
             assert 0 < float(arrived.message.headers[b"x-timeout"]) < 30
             reply = os.urandom(64 * 1024)
-            arrived.reply(answer(200, reply, Usage_Percent="85", Content_Type="a/b"))
+            arrived.reply(http_response(200, reply, Usage_Percent="85", Content_Type="a/b"))
             message = await client.receive()
             assert message.status == 200 and message.body == reply
             assert message.headers[b"content-type"] == b"a/b" and b"usage-percent" not in message.headers
@@ -85,13 +85,13 @@
 
 def test_the_decision_module_decides_on_each_further_attempt() -> None:
     async def test() -> None:
-        host = await Peer().start()
-        async with running_gateway(entry("s-1", host.port), entry("s-2", host.port)) as w:
+        host = await FakeServer().start()
+        async with running_gateway(host_entry("s-1", host.port), host_entry("s-2", host.port)) as w:
             send_all(w, "s-1", "s-2", "unknown")
             client = await w.client()
             client.send(request())
-            (await host.next()).reply(answer(503, X_Not_Processed="1"))
-            (await host.next()).reset()
+            (await host.next_request()).reply(http_response(503, X_Not_Processed="1"))
+            (await host.next_request()).reset()
             assert (await client.receive()).status == 502
             done = await w.attempt_done(3)
             assert [d.attempt for d in w.script.received(api.AttemptDone)] == [0, 1, 2]
@@ -105,8 +105,8 @@
 
 def test_an_attempt_ends_at_its_deadline_and_the_request_at_the_clients_timeout() -> None:
     async def test() -> None:
-        host = await Peer().start()
-        async with running_gateway(entry("s-1", host.port), entry("s-2", host.port)) as w:
+        host = await FakeServer().start()
+        async with running_gateway(host_entry("s-1", host.port), host_entry("s-2", host.port)) as w:
             send_all(w, "s-1", "s-2", timeout=0.05)
             assert (await w.ask(request())).status == 504
             assert [d.outcome for d in w.script.received(api.AttemptDone)] == [Outcome.TIMEOUT] * 2
@@ -136,16 +136,16 @@
 
 def test_an_attempt_has_one_outcome_even_if_the_client_has_left() -> None:
     async def test() -> None:
-        host = await Peer().start()
-        async with running_gateway(entry("s-1", host.port)) as w:
+        host = await FakeServer().start()
+        async with running_gateway(host_entry("s-1", host.port)) as w:
             send_all(w, "s-1")
             client = await w.client()
             client.send(request())
-            arrived = await host.next()
+            arrived = await host.next_request()
             client.close()
             await until(lambda: w.script.received(api.RequestAbandoned))
             assert w.node.pending and not w.script.received(api.AttemptDone)
-            arrived.reply(answer())
+            arrived.reply(http_response())
             done = await w.attempt_done()
             assert done.outcome is Outcome.OK and done.request_done and not w.node.pending
         host.stop()
@@ -155,12 +155,12 @@
 
 def test_a_cancelled_attempt_is_closed_and_reported_once() -> None:
     async def test() -> None:
-        host = await Peer().start()
-        async with running_gateway(entry("s-1", host.port)) as w:
+        host = await FakeServer().start()
+        async with running_gateway(host_entry("s-1", host.port)) as w:
             send_all(w, "s-1")
             client = await w.client()
             client.send(request())
-            await host.next()
+            await host.next_request()
             for _ in range(2):
                 w.node.action_handlers[api.Cancel](api.Cancel("r1", 0))
             assert (await client.receive()).status == 502
@@ -174,8 +174,8 @@
 @pytest.mark.parametrize("change", ["left", "leaving", "restarted", "moved", "client", "none"])
 def test_host_and_client_are_checked_again_between_connect_and_write(change: str) -> None:
     async def test() -> None:
-        host = await Peer(answer()).start()
-        known = entry("s-1", host.port)
+        host = await FakeServer(http_response()).start()
+        known = host_entry("s-1", host.port)
         async with running_gateway(known) as w:
             send_all(w, "s-1")
             watch = await w.registry.watch()
@@ -194,14 +194,14 @@
                     "restarted": {"since_ms": 1000},
                     "moved": {"address": "127.0.0.1:1"},
                 }[change]
-                watch.reply(chunk(line(42, {**known, **more})))
+                watch.reply(chunk(list_message(42, {**known, **more})))
                 await until(lambda: len(w.script.received(api.HostList)) > seen)
             go.set()
             done = await w.attempt_done()
             if change == "none":
-                assert done.outcome is Outcome.OK and host.arrived.qsize() == 1
+                assert done.outcome is Outcome.OK and host.requests.qsize() == 1
             else:
-                assert done.outcome is Outcome.NOT_SENT and host.arrived.empty()
+                assert done.outcome is Outcome.NOT_SENT and host.requests.empty()
         host.stop()
 
     run(test())
@@ -212,8 +212,8 @@
     """With an idle connection to the host, an attempt is written before the loop reads the client's close."""
 
     async def test() -> None:
-        host, first = await Peer(answer()).start(), await Peer().start()
-        async with running_gateway(entry("s-1", host.port), entry("s-2", first.port)) as w:
+        host, first = await FakeServer(http_response()).start(), await FakeServer().start()
+        async with running_gateway(host_entry("s-1", host.port), host_entry("s-2", first.port)) as w:
             send_all(w, "s-1", *["s-2"] * (attempt == "further"), "s-1")
             await w.ask(request("warm"))
             pool = next(iter(w.node.upstreams.pools.values()))
@@ -224,12 +224,12 @@
             with socket.create_connection(("127.0.0.1", w.node.server.port)) as client:
                 client.sendall(request("r1"))
                 if attempt == "further":  # the loop reads the host's response first, then the client's close
-                    arrived = await first.next()
+                    arrived = await first.next_request()
                     descriptor = arrived.writer.get_extra_info("socket").fileno()
-                    os.write(descriptor, answer(503, X_Not_Processed="1"))
+                    os.write(descriptor, http_response(503, X_Not_Processed="1"))
             await until(lambda: w.script.received(api.RequestAbandoned) and not w.node.pending)
             assert w.script.received(api.AttemptDone)[-1].outcome is Outcome.NOT_SENT
-            assert host.arrived.qsize() == 1  # only the first one
+            assert host.requests.qsize() == 1  # only the first one
         host.stop()
         first.stop()
 
@@ -241,8 +241,8 @@
     """Its connection has too many open requests to be read, and its close follows unread bytes."""
 
     async def test() -> None:
-        host = await Peer(answer()).start()
-        async with running_gateway(entry("s-1", host.port)) as w:
+        host = await FakeServer(http_response()).start()
+        async with running_gateway(host_entry("s-1", host.port)) as w:
             _, go = hold_connects(w.node.upstreams)
             if waits == "for a connection":
                 w.script.on(api.Request, lambda e: [api.Send(e.id, "s-1", 0.0)])
@@ -255,7 +255,7 @@
                 go.set()
                 await w.attempt_done(MAX_PIPELINED_REQUESTS)
                 assert {e.outcome for e in w.script.received(api.AttemptDone)} == {Outcome.NOT_SENT}
-                assert host.arrived.empty()
+                assert host.requests.empty()
             await until(
                 lambda: len(w.script.received(api.RequestAbandoned)) == MAX_PIPELINED_REQUESTS
                 and not w.node.pending
@@ -275,20 +275,20 @@
         raise Broken("by design")
 
     async def test() -> None:
-        host = await Peer().start()
-        async with running_gateway(entry("s-1", host.port)) as w:
+        host = await FakeServer().start()
+        async with running_gateway(host_entry("s-1", host.port)) as w:
             client = await w.client()
             w.script.on(api.Request, fail)
             assert (await client.ask(request("r1", "write"))).status == 503  # not sent: a retry is safe
             send_all(w, "s-1")
             w.script.on(api.AttemptDone, fail)
             client.send(request("r2", "write"))
-            (await host.next()).reply(answer(500))
+            (await host.next_request()).reply(http_response(500))
             assert (await client.receive()).status == 502  # it may have run
             send_all(w, "s-1")
             w.script.on(api.AttemptDone, fail)
             client.send(request("r3", "read"))
-            (await host.next()).reply(answer(500))
+            (await host.next_request()).reply(http_response(500))
             assert (await client.receive()).status == 503
             assert not w.node.pending
             w.script.on(api.TimerFired, fail)
@@ -302,8 +302,8 @@
 
 def test_a_finished_request_leaves_no_objects_to_the_garbage_collector() -> None:
     async def test() -> None:
-        host = await Peer(answer()).start()
-        async with running_gateway(entry("s-1", host.port)) as w:
+        host = await FakeServer(http_response()).start()
+        async with running_gateway(host_entry("s-1", host.port)) as w:
             send_all(w, *["s-1"] * 20)
             client = await w.client()
             assert (await client.ask(request("r0"))).status == 200
@@ -324,18 +324,18 @@
 
 def test_probes_and_counter_calls_are_answered() -> None:
     async def test() -> None:
-        host = await Peer(answer()).start()
-        async with running_gateway(entry("s-1", host.port)) as w:
+        host = await FakeServer(http_response()).start()
+        async with running_gateway(host_entry("s-1", host.port)) as w:
             w.script.on(
                 api.Request, lambda e: [api.Probe("s-1"), api.Probe("none"), api.CounterAdd(5, 2.0, 1.0)]
             )
             (await w.client()).send(request())
-            assert (await host.next()).message.first == b"GET /alive HTTP/1.1"
+            assert (await host.next_request()).message.start_line == b"GET /alive HTTP/1.1"
             await until(lambda: len(w.script.received(api.ProbeDone)) == 2)
             assert {p.outcome for p in w.script.received(api.ProbeDone)} == {Outcome.OK, Outcome.NOT_SENT}
-            call = await w.counter.next()
-            assert call.message.first == b"POST /tally/5?n=2.000000&keep_ms=1000 HTTP/1.1"
-            call.reply(answer(body=b"7"))
+            call = await w.counter.next_request()
+            assert call.message.start_line == b"POST /tally/5?n=2.000000&keep_ms=1000 HTTP/1.1"
+            call.reply(http_response(body=b"7"))
             await until(lambda: w.script.received(api.CounterReply) == [api.CounterReply(5, True, 7.0)])
         host.stop()
 
@@ -344,9 +344,9 @@
 
 def test_the_real_decision_module_serves_over_sockets() -> None:
     async def test() -> None:
-        hosts = [await Peer(answer(body=b"served")).start() for _ in range(3)]
+        hosts = [await FakeServer(http_response(body=b"served")).start() for _ in range(3)]
         async with running_gateway(
-            *(entry(f"s-{i}", h.port) for i, h in enumerate(hosts)), real_module=True
+            *(host_entry(f"s-{i}", h.port) for i, h in enumerate(hosts)), real_module=True
         ) as w:
             client = await w.client()
             for i in range(50):
@@ -357,7 +357,7 @@
             for i in range(50, 100):
                 assert (await client.ask(request(f"r{i}"))).status in (200, 503)
             assert not w.node.pending and not w.node.gateway.requests
-            assert sum(h.arrived.qsize() for h in hosts) >= 50
+            assert sum(h.requests.qsize() for h in hosts) >= 50
         for host in hosts:
             host.stop()
 
@@ -366,24 +366,24 @@
 
 def test_after_sigterm_all_requests_are_answered() -> None:
     async def test() -> None:
-        host = await Peer().start()
-        async with running_gateway(entry("s-1", host.port)) as w:
+        host = await FakeServer().start()
+        async with running_gateway(host_entry("s-1", host.port)) as w:
             send_all(w, "s-1", "s-1", "s-1")
             idle, busy = await w.client(), await w.client()
             busy.send(request("r1"))
-            first = await host.next()
+            first = await host.next_request()
             await until(lambda: len(w.node.server.connections) == 2)
             w.node.stop()
             w.node.stop()
             late = await w.client()
             late.send(request("r2"))
-            second = await host.next()
+            second = await host.next_request()
             kill = w.node.clock.now() + 3 + 0.7  # the earliest SIGKILL
             assert w.script.received(api.Request)[1].expires_at < kill - 0.25
             assert await idle.closed_by_gateway()
             assert not w.node.stopped.done()
             for client, arrived in ((busy, first), (late, second)):
-                arrived.reply(answer(body=b"done"))
+                arrived.reply(http_response(body=b"done"))
                 message = await client.receive()
                 assert message.body == b"done" and message.headers[b"connection"] == b"close"
                 assert await client.closed_by_gateway()
@@ -397,23 +397,23 @@
     """Whether complete or partial: only the last response of the connection says that it is closed."""
 
     async def test() -> None:
-        host = await Peer().start()
-        async with running_gateway(entry("s-1", host.port)) as w:
+        host = await FakeServer().start()
+        async with running_gateway(host_entry("s-1", host.port)) as w:
             send_all(w, "s-1", "s-1", "s-1")
             client = await w.client()
             third = request("r3")
             client.send(request("r1") + request("r2") + third[:40])
-            waiting = [await host.next(), await host.next()]
+            waiting = [await host.next_request(), await host.next_request()]
             (connection,) = w.node.server.connections
             assert connection.incoming
             w.node.stop()
             for arrived in waiting:
-                arrived.reply(answer(body=arrived.message.headers[b"x-request-id"]))
+                arrived.reply(http_response(body=arrived.message.headers[b"x-request-id"]))
             for id in (b"r1", b"r2"):
                 message = await client.receive()
                 assert message.body == id and b"connection" not in message.headers
             client.send(third[40:])
-            (await host.next()).reply(answer(body=b"r3"))
+            (await host.next_request()).reply(http_response(body=b"r3"))
             message = await client.receive()
             assert message.body == b"r3" and message.headers[b"connection"] == b"close"
             assert await client.closed_by_gateway()
@@ -427,18 +427,18 @@
     """The module gets both its RequestAbandoned and the end of its attempt; no response is written."""
 
     async def test() -> None:
-        host = await Peer().start()
-        async with running_gateway(entry("s-1", host.port)) as w:
+        host = await FakeServer().start()
+        async with running_gateway(host_entry("s-1", host.port)) as w:
             send_all(w, "s-1", "s-1")
             client = await w.client()
             client.send(request("r1") + request("r2", Plan="unknown") + request("r3"))
-            two = [await host.next(), await host.next()]
+            two = [await host.next_request(), await host.next_request()]
             first, third = sorted(two, key=lambda arrived: arrived.message.headers[b"x-request-id"])
-            first.reply(answer(body=b"done"))
+            first.reply(http_response(body=b"done"))
             assert (await client.receive()).body == b"done" and (await client.receive()).status == 400
             assert await client.closed_by_gateway()
             assert [e.request for e in w.script.received(api.RequestAbandoned)] == ["r3"]
-            third.reply(answer(body=b"late"))
+            third.reply(http_response(body=b"late"))
             done = await w.attempt_done(2)
             assert done.request == "r3" and not w.node.pending
         host.stop()
@@ -466,8 +466,8 @@
     """New connections arrive for 0.4 s after SIGTERM, even if the longest timeout is shorter."""
 
     async def test() -> None:
-        host = await Peer(answer(body=b"done")).start()
-        async with running_gateway(entry("s-1", host.port), classes=classes_with_timeout(0.2)) as w:
+        host = await FakeServer(http_response(body=b"done")).start()
+        async with running_gateway(host_entry("s-1", host.port), classes=classes_with_timeout(0.2)) as w:
             send_all(w, "s-1")
             for due, step in stop_step_by_step(w):
                 if due <= 0.4:
@@ -483,8 +483,8 @@
     """A connection opened just as idle ones are closed: its request may arrive a moment later."""
 
     async def test() -> None:
-        host = await Peer(answer(body=b"done")).start()
-        async with running_gateway(entry("s-1", host.port)) as w:
+        host = await FakeServer(http_response(body=b"done")).start()
+        async with running_gateway(host_entry("s-1", host.port)) as w:
             send_all(w, "s-1")
             idle = await w.client()
             assert (await idle.ask(b"GET /up HTTP/1.1\r\n\r\n")).status == 503
@@ -507,15 +507,15 @@
     """The module knows only the client's timeout, and would try the other host."""
 
     async def test() -> None:
-        hung, other = await Peer().start(), await Peer(answer(body=b"done")).start()
-        async with running_gateway(entry("s-1", hung.port), entry("s-2", other.port)) as w:
+        hung, other = await FakeServer().start(), await FakeServer(http_response(body=b"done")).start()
+        async with running_gateway(host_entry("s-1", hung.port), host_entry("s-2", other.port)) as w:
             send_all(w, "s-2", "s-1", "s-2")
             assert (await w.ask(request("r1"))).body == b"done"
             (kept,) = w.node.upstreams.connections  # idle long enough for an attempt to be sent on it at once
             await until(lambda: w.node.clock.now() - kept.idle_since > REUSE_DELAY_S)
             client = await w.client()
             client.send(request("r2"))
-            await hung.next()
+            await hung.next_request()
             steps = stop_step_by_step(w)
             next(step for _, step in steps if step == w.node._end_drain)()
             assert [e.outcome for e in w.script.received(api.AttemptDone)][1:] == [
@@ -532,25 +532,25 @@
 @pytest.mark.parametrize("waits", ["for the counter", "for a connection", "for the answer"])
 def test_a_request_is_answered_once_at_whatever_stage_sigterm_comes(waits: str) -> None:
     async def test() -> None:
-        host = await Peer().start()
-        async with running_gateway(entry("s-1", host.port)) as w:
+        host = await FakeServer().start()
+        async with running_gateway(host_entry("s-1", host.port)) as w:
             started, go = hold_connects(w.node.upstreams)
             w.script.on(api.Request, lambda e: [api.CounterAdd(7, 1.0, 4.0)])
             w.script.on(api.CounterReply, lambda e: [api.Send("r1", "s-1", 0.0)])
             client = await w.client()
             client.send(request("r1"))
-            call = await w.counter.next()
+            call = await w.counter.next_request()
             if waits == "for the counter":
                 w.node.stop()
-            call.reply(answer(body=b"1"))
+            call.reply(http_response(body=b"1"))
             await with_timeout(started.wait())
             if waits == "for a connection":
                 w.node.stop()
             go.set()
-            arrived = await host.next()
+            arrived = await host.next_request()
             if waits == "for the answer":
                 w.node.stop()
-            arrived.reply(answer(body=b"done"))
+            arrived.reply(http_response(body=b"done"))
             message = await client.receive()
             assert message.body == b"done" and message.headers[b"connection"] == b"close"
             assert await client.closed_by_gateway()
@@ -564,18 +564,18 @@
     """A client that reads late: its responses are larger than the kernel's buffers."""
 
     async def test() -> None:
-        host = await Peer().start()
-        async with running_gateway(entry("s-1", host.port)) as w:
+        host = await FakeServer().start()
+        async with running_gateway(host_entry("s-1", host.port)) as w:
             w.script.on(api.Request, lambda e: [api.Send(e.id, "s-1", 0.0)])
             client, body = await w.client(), os.urandom(64 * 1024)
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             client.send(b"".join(request(f"r{i}") for i in range(MAX_PIPELINED_REQUESTS)))
-            waiting = [await host.next() for _ in range(MAX_PIPELINED_REQUESTS)]
+            waiting = [await host.next_request() for _ in range(MAX_PIPELINED_REQUESTS)]
             for arrived in waiting[1:]:
-                arrived.reply(answer(body=body))
+                arrived.reply(http_response(body=body))
             await until(lambda: len(w.script.received(api.AttemptDone)) == MAX_PIPELINED_REQUESTS - 1)
             w.node.stop()
-            waiting[0].reply(answer(body=body))
+            waiting[0].reply(http_response(body=body))
             await w.attempt_done(MAX_PIPELINED_REQUESTS)
             assert not w.node.stopped.done()
             client.writer.transport.resume_reading()  # type: ignore[attr-defined]
@@ -591,17 +591,17 @@
 
 def test_sighup_during_a_drain_disturbs_no_response() -> None:
     async def test() -> None:
-        host, registry, counter = await Peer().start(), Registry(), await Peer().start()
+        host, registry, counter = await FakeServer().start(), Registry(), await FakeServer().start()
         await registry.start()
-        async with running_gateway(entry("s-1", host.port)) as w:
+        async with running_gateway(host_entry("s-1", host.port)) as w:
             send_all(w, "s-1")
             client = await w.client()
             client.send(request("r1"))
-            arrived = await host.next()
+            arrived = await host.next_request()
             w.node.stop()
             w.node.reload(replace(w.node.config, discovery=registry.address, counter=counter.address))
             await registry.watch()
-            arrived.reply(answer(body=b"done"))
+            arrived.reply(http_response(body=b"done"))
             message = await client.receive()
             assert message.body == b"done" and message.headers[b"connection"] == b"close"
             await with_timeout(w.node.stopped)
@@ -652,8 +652,8 @@
     """The event loop is late: all time limits on idle connections pass before it reads from them."""
 
     async def test() -> None:
-        host = await Peer(answer(body=b"done")).start()
-        async with running_gateway(entry("s-1", host.port), sockets=1024) as w:
+        host = await FakeServer(http_response(body=b"done")).start()
+        async with running_gateway(host_entry("s-1", host.port), sockets=1024) as w:
             w.script.on(api.Request, lambda e: [api.Send(e.id, "s-1", 0.0)])
             waiting = connect_unaccepted(w, 100)
             if writes == "before the listener is closed":
@@ -674,8 +674,8 @@
     """The kernel lets one connection more wait than the backlog."""
 
     async def test() -> None:
-        host = await Peer(answer(body=b"done")).start()
-        async with running_gateway(entry("s-1", host.port)) as w:
+        host = await FakeServer(http_response(body=b"done")).start()
+        async with running_gateway(host_entry("s-1", host.port)) as w:
             w.script.on(api.Request, lambda e: [api.Send(e.id, "s-1", 0.0)])
             waiting = connect_unaccepted(w, 9)
             send_numbered(waiting)
@@ -692,19 +692,19 @@
     """The number of connections is at its limit when the drain is about to close the listener."""
 
     async def test() -> None:
-        host = await Peer().start()
-        async with running_gateway(entry("s-1", host.port)) as w:
+        host = await FakeServer().start()
+        async with running_gateway(host_entry("s-1", host.port)) as w:
             w.script.on(api.Request, lambda e: [api.Send(e.id, "s-1", 0.0)])
             w.node.server.max_connections, w.node.server.max_overflow = 1, 0
             busy = await w.client()
             busy.send(request("busy"))
-            arrived = await host.next()
+            arrived = await host.next_request()
             waiting = connect_unaccepted(w, 1)
             send_numbered(waiting)
             run_drain_steps(w, "_stop_accepting")
-            arrived.reply(answer(body=b"done"))
+            arrived.reply(http_response(body=b"done"))
             assert (await busy.receive()).body == b"done"
-            (await host.next()).reply(answer(body=b"done"))
+            (await host.next_request()).reply(http_response(body=b"done"))
             assert b"done" in (await read_all_to_end(waiting))[0]
             await until(lambda: w.node.listener_closed)
         host.stop()
@@ -745,12 +745,12 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
-        host = await Peer().start()
-        async with running_gateway(entry("s-1", host.port)) as w:
+        host = await FakeServer().start()
+        async with running_gateway(host_entry("s-1", host.port)) as w:
             send_all(w, "s-1")
             client = await w.client()
             client.send(request())
-            await host.next()
+            await host.next_request()
             w.node.stop()
             assert (await client.receive()).status == 504
             await with_timeout(w.node.stopped)
@@ -764,21 +764,21 @@
     """The real module: a truncated response must not hold a safe request until the client times out."""
 
     async def test() -> None:
-        hosts = [await Peer(answer()).start(), await Peer(answer()).start()]
+        hosts = [await FakeServer(http_response()).start(), await FakeServer(http_response()).start()]
         fast = {**SETTINGS["classes"][0], "aim_s": 2.0}
-        known = [entry(f"s-{host.port}", host.port) for host in hosts]
+        known = [host_entry(f"s-{host.port}", host.port) for host in hosts]
         async with running_gateway(*known, real_module=True, classes=[fast, SETTINGS["classes"][1]]) as w:
             client = await w.client()
             for number in range(100):  # to learn the usual latency
                 assert (await client.ask(request(f"r{number}"))).status == 200
             for host in hosts:
-                host.auto, host.arrived = None, asyncio.Queue()
+                host.auto_response, host.requests = None, asyncio.Queue()
             begun = w.node.clock.now()
             client.send(request("late"))
-            tasks = [asyncio.create_task(host.arrived.get()) for host in hosts]
+            tasks = [asyncio.create_task(host.requests.get()) for host in hosts]
             (first,), (other,) = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
             first.result().reply(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort")
-            (await with_timeout(other)).reply(answer(body=b"whole"))
+            (await with_timeout(other)).reply(http_response(body=b"whole"))
             assert (await client.receive()).body == b"whole"
             assert w.node.clock.now() - begun < 20.0  # the client would wait for 30 s
         for host in hosts:
@@ -791,12 +791,12 @@
     """Another of its gateways may have quota left, and a response after the target is worth nothing."""
 
     async def test() -> None:
-        host = await Peer(answer()).start()
+        host = await FakeServer(http_response()).start()
         fast = {**SETTINGS["classes"][0], "aim_s": 1.0}
         plan = {"name": "team", "per_second": 0.01, "most_at_once": 1.0}
         changes = {"classes": [fast, SETTINGS["classes"][1]], "packages": [plan]}
         async with running_gateway(
-            entry("s-1", host.port), real_module=True, family_info={"may_count": False}, **changes
+            host_entry("s-1", host.port), real_module=True, family_info={"may_count": False}, **changes
         ) as w:
             client = await w.client()
             assert (await client.ask(request("r1"))).status == 200
@@ -837,12 +837,12 @@
     """The first request names a small plan and a wide spread; those that follow get their own."""
 
     async def test() -> None:
-        host = await Peer(answer()).start()
+        host = await FakeServer(http_response()).start()
         plans = [
             {"name": "small", "per_second": 0.01, "most_at_once": 1.0},
             {"name": "team", "per_second": 1000.0, "most_at_once": 1000.0},
         ]
-        async with running_gateway(entry("s-1", host.port), real_module=True, packages=plans) as w:
+        async with running_gateway(host_entry("s-1", host.port), real_module=True, packages=plans) as w:
             client = await w.client()
             wrong = request("r1", Plan="small", Quota_Info="units=1,spread=3,first=0")
             assert (await client.ask(wrong)).status == 200
@@ -859,17 +859,17 @@
     """The real module: an estimate of 1 unit that is billed as 4 leaves 3 less for the next request."""
 
     async def test() -> None:
-        host = await Peer().start()
+        host = await FakeServer().start()
         plan = {"name": "team", "per_second": 0.001, "most_at_once": 6.0, "excess_cost": 1.0}
         family = {"may_count": False, "most_units": 4, "post_paid": True, "use_period_s": 0.0}
         async with running_gateway(
-            entry("s-1", host.port), real_module=True, packages=[plan], family_info=family, n_instances=1
+            host_entry("s-1", host.port), real_module=True, packages=[plan], family_info=family, n_instances=1
         ) as w:
             client = await w.client()
             quota = {"Quota_Info": "units=1,spread=1,first=0"}
             for id, billed in (("r1", "4"), ("r2", "none"), ("r3", "9")):
                 client.send(request(id, **quota))
-                (await host.next()).reply(answer(body=b"done", Billed_Units=billed))
+                (await host.next_request()).reply(http_response(body=b"done", Billed_Units=billed))
                 message = await client.receive()
                 assert message.body == b"done" and b"billed-units" not in message.headers
             assert (await client.ask(request("r4", **quota))).status == 503
@@ -883,13 +883,13 @@
     """The real module: the next request finds the bucket and the ceiling unchanged."""
 
     async def test() -> None:
-        host = await Peer(answer(body=b"done")).start()
+        host = await FakeServer(http_response(body=b"done")).start()
         plan = {"name": "team", "per_second": 0.001, "most_at_once": 1.0, "excess_cost": 1.0}
         if ceiling:
             plan |= {"per_second": 9.0, "most_at_once": 9.0, "never_over_rate": 0.001, "hard_burst": 1.5}
         family = {"may_count": False, "use_period_s": 0.0}
         async with running_gateway(
-            entry("s-1", host.port), real_module=True, packages=[plan], family_info=family, n_instances=1
+            host_entry("s-1", host.port), real_module=True, packages=[plan], family_info=family, n_instances=1
         ) as w:
             started, go = hold_connects(w.node.upstreams)
             w.node.gateway.admission.born = -math.inf  # the ceiling allows its whole burst
@@ -901,7 +901,7 @@
             await until(lambda: w.node.pending["r1"].answered)
             go.set()
             await until(lambda: not w.node.pending)
-            assert host.arrived.empty()
+            assert host.requests.empty()
             assert (await second.ask(request("r2", **quota))).body == b"done"
             assert (await second.ask(request("r3", **quota))).status == 503
         host.stop()
@@ -913,10 +913,10 @@
     """A few requests may all come to one gateway by chance; a steady flow gets only the gateway's share."""
 
     async def test() -> None:
-        host = await Peer(answer()).start()
+        host = await FakeServer(http_response()).start()
         plan = {"name": "team", "per_second": 1.0, "most_at_once": 6.0, "excess_cost": 1.0}
         changes = {"packages": [plan], "family_info": {"may_count": False}}
-        async with running_gateway(entry("s-1", host.port), real_module=True, **changes) as w:
+        async with running_gateway(host_entry("s-1", host.port), real_module=True, **changes) as w:
             client = await w.client()
             headers = {"Quota_Info": "units=1,spread=3,first=1"}
             first = [(await client.ask(request(f"a{i}", **headers))).status for i in range(3)]
@@ -932,26 +932,26 @@
     """Single breaks pause no host that still responds; breaks in a row, or a refused connection, do."""
 
     async def test() -> None:
-        host = await Peer().start()
-        async with running_gateway(entry("s-1", host.port), real_module=True) as w:
+        host = await FakeServer().start()
+        async with running_gateway(host_entry("s-1", host.port), real_module=True) as w:
             client = await w.client()
             seen = w.node.gateway.hosts["s-1"]
             for number in range(5):
                 client.send(request(f"lost{number}"))
-                (await host.next()).reset()
+                (await host.next_request()).reset()
                 assert (await client.receive()).status == 503
                 assert not seen.is_unhealthy(w.node.clock.now(), 1.0) and not seen.backoff_until
                 client.send(request(f"well{number}"))
-                (await host.next()).reply(answer())
+                (await host.next_request()).reply(http_response())
                 assert (await client.receive()).status == 200
             for number in range(3):
                 assert not seen.backoff_until
                 client.send(request(f"down{number}"))
-                (await host.next()).reset()
+                (await host.next_request()).reset()
                 assert (await client.receive()).status == 503
             assert seen.backoff_until > w.node.clock.now()
-        gone = await Peer().start()
-        async with running_gateway(entry("s-1", gone.port), real_module=True) as w:
+        gone = await FakeServer().start()
+        async with running_gateway(host_entry("s-1", gone.port), real_module=True) as w:
             gone.stop()
             await with_timeout(gone.server.wait_closed())
             assert (await w.ask(request())).status == 503
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -17,15 +17,15 @@
 
 import pytest
 from net_helpers import (
-    LIMIT,
-    WATCH_HEAD,
+    TEST_TIMEOUT_S,
+    WATCH_RESPONSE_HEAD,
     Client,
-    Peer,
+    FakeServer,
     Registry,
-    answer,
     chunk,
-    entry,
-    line,
+    host_entry,
+    http_response,
+    list_message,
     request,
     run,
     settings,
@@ -78,7 +78,7 @@
 
 async def connect_when_ready(port: int) -> Client:
     """Waits until the program is ready; returns a connection to it."""
-    async with asyncio.timeout(LIMIT):
+    async with asyncio.timeout(TEST_TIMEOUT_S):
         while True:
             try:
                 client = Client(*await asyncio.open_connection("127.0.0.1", port))
@@ -164,10 +164,10 @@
 
 def test_the_program_serves_and_ends_on_sigterm(tmp_path: Path) -> None:
     async def test() -> None:
-        host, registry = await Peer(answer(body=b"served")).start(), Registry()
+        host, registry = await FakeServer(http_response(body=b"served")).start(), Registry()
         await registry.start()
         port = free_port()
-        known = {"index": 1, "snapshot": True, "endpoints": [entry("s-1", host.port)]}
+        known = {"index": 1, "snapshot": True, "endpoints": [host_entry("s-1", host.port)]}
         path = tmp_path / "config.json"
         more = {"listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{registry.port}", "known": known}
         path.write_text(json.dumps(config(**more)))
@@ -191,12 +191,12 @@
     """With 64 sockets its own limits suffice; under a lower process limit it runs out, and must recover."""
 
     async def test() -> None:
-        host, registry, port = await Peer().start(), Registry(), free_port()
+        host, registry, port = await FakeServer().start(), Registry(), free_port()
         await registry.start()
         more = {
             "listen": f"127.0.0.1:{port}",
             "discovery": f"127.0.0.1:{registry.port}",
-            "known": {"index": 1, "snapshot": True, "endpoints": [entry("s-1", host.port)]},
+            "known": {"index": 1, "snapshot": True, "endpoints": [host_entry("s-1", host.port)]},
             "limits": {"sockets": sockets},
         }
         path = tmp_path / "config.json"
@@ -206,7 +206,7 @@
         if sockets > 64:
             resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (64, 64))
         first.send(request("first"))  # an open request, so that the connection is not closed as idle
-        waiting = await host.next()
+        waiting = await host.next_request()
         flood = [Client(*await asyncio.open_connection("127.0.0.1", port)) for _ in range(150)]
         for client in flood:
             client.send(request()[:-2])
@@ -217,9 +217,9 @@
             client.writer.transport.abort()
         after = await connect_when_ready(port)
         after.send(request("after"))
-        (await host.next()).reply(answer(body=b"served"))
+        (await host.next_request()).reply(http_response(body=b"served"))
         assert (await after.receive()).body == b"served"
-        waiting.reply(answer(body=b"served"))
+        waiting.reply(http_response(body=b"served"))
         assert (await first.receive()).body == b"served"
         await end(process)
         host.stop()
@@ -235,7 +235,7 @@
     """Also if the configuration allows more descriptors than the process limit."""
 
     async def test() -> None:
-        host, registry = await Peer(answer(body=b"new")).start(), Registry()
+        host, registry = await FakeServer(http_response(body=b"new")).start(), Registry()
         port, agent = free_port(), free_port()
         more = {
             "listen": f"127.0.0.1:{port}",
@@ -255,7 +255,7 @@
         async with asyncio.timeout(MAX_PROPAGATION_DELAY_S):
             await registry.start(agent)
             watch = await registry.watch()
-            watch.reply(chunk(line(2, entry("s-1", host.port))))
+            watch.reply(chunk(list_message(2, host_entry("s-1", host.port))))
             answered = b""
             while answered != b"new":  # until the program has read the list
                 asking = Client(*await asyncio.open_connection("127.0.0.1", port))
@@ -278,9 +278,9 @@
         registry, ports = Registry(), [free_port() for _ in range(6)]
         await registry.start()
         if agent == "responds 503":
-            registry.auto = answer(503, b"")
+            registry.auto_response = http_response(503, b"")
         if agent == "responds":
-            registry.auto = WATCH_HEAD + chunk(b"\n")
+            registry.auto_response = WATCH_RESPONSE_HEAD + chunk(b"\n")
         processes = []
         async with asyncio.timeout(READY_WITHIN):
             for port in ports:
@@ -288,7 +288,7 @@
                 more = {
                     "listen": f"127.0.0.1:{port}",
                     "discovery": f"127.0.0.1:{free_port() if agent == 'refuses' else registry.port}",
-                    "known": {"index": 1, "snapshot": True, "endpoints": [entry("s-1", 1)]},
+                    "known": {"index": 1, "snapshot": True, "endpoints": [host_entry("s-1", 1)]},
                     "settings": settings(registry_mode=mode),
                 }
                 path.write_text(json.dumps(config(**more)))
@@ -336,10 +336,10 @@
     """A second attempt follows one that was not processed, but none that an unsafe class may have run."""
 
     async def test() -> None:
-        host, registry, port = await Peer().start(), await Registry().start(), free_port()
+        host, registry, port = await FakeServer().start(), await Registry().start(), free_port()
         other = {key: value for key, value in settings().items() if key not in OTHER_SETTINGS[name]}
         other |= OTHER_SETTINGS[name]
-        hosts = [entry(f"s-{i}", host.port, zone="", type="") for i in range(2)]
+        hosts = [host_entry(f"s-{i}", host.port, zone="", type="") for i in range(2)]
         path = tmp_path / "config.json"
         more = {
             **{"listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{registry.port}", "counter": None},
@@ -358,15 +358,15 @@
         for number, cls in enumerate(other["classes"]):
             ask(f"twice{number}", cls)
             if number == 0:  # the retry budget is one attempt at the start
-                (await host.next()).reply(answer(503, X_Not_Processed="1"))
-            (await host.next()).reply(answer(body=b"served", Billed_Units="1"))
+                (await host.next_request()).reply(http_response(503, X_Not_Processed="1"))
+            (await host.next_request()).reply(http_response(body=b"served", Billed_Units="1"))
             assert (await client.receive()).body == b"served"
             if cls["repeat"] == "single_shot":
                 ask(f"once{number}", cls)
-                (await host.next()).reset()
+                (await host.next_request()).reset()
                 message = await client.receive()
                 assert message.status in (502, 504) and b"retry-after" not in message.headers
-                assert host.arrived.empty()
+                assert host.requests.empty()
         await end(process)
         host.stop()
         registry.stop()
@@ -384,7 +384,7 @@
             json.dumps(config(listen=f"127.0.0.1:{port}", discovery=f"127.0.0.1:{registry.port}"))
         )
         process = await start(path)
-        async with asyncio.timeout(LIMIT):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             while True:
                 try:
                     client = Client(*await asyncio.open_connection("127.0.0.1", port))
@@ -404,12 +404,12 @@
     """An invalid file changes nothing; an open request is answered; the list comes from the new agent."""
 
     async def test() -> None:
-        host, other = await Peer().start(), await Peer(answer(body=b"other")).start()
+        host, other = await FakeServer().start(), await FakeServer(http_response(body=b"other")).start()
         registry, moved = Registry(), Registry()
         await registry.start()
         await moved.start()
         port = free_port()
-        known = {"index": 1, "snapshot": True, "endpoints": [entry("s-1", host.port)]}
+        known = {"index": 1, "snapshot": True, "endpoints": [host_entry("s-1", host.port)]}
         path = tmp_path / "config.json"
         more = {"listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{registry.port}", "known": known}
         path.write_text(json.dumps(config(**more)))
@@ -417,7 +417,7 @@
         assert process.stderr is not None
         client = await connect_when_ready(port)
         client.send(request())
-        arrived = await host.next()
+        arrived = await host.next_request()
         path.write_text("{")
         process.send_signal(signal.SIGHUP)
         await with_timeout(process.stderr.readuntil(b"keeping the old configuration"))
@@ -428,10 +428,10 @@
         process.send_signal(signal.SIGHUP)
         watch = await moved.watch()
         process.send_signal(signal.SIGHUP)
-        watch.reply(chunk(line(1, entry("s-2", other.port), snapshot=True)))
-        arrived.reply(answer(body=b"served"))
+        watch.reply(chunk(list_message(1, host_entry("s-2", other.port), snapshot=True)))
+        arrived.reply(http_response(body=b"served"))
         assert (await client.receive()).body == b"served"
-        async with asyncio.timeout(LIMIT):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             while (await client.ask(request(os.urandom(4).hex()))).body != b"other":
                 await asyncio.sleep(0.01)
         assert moved.connections == 1
@@ -453,7 +453,7 @@
     """
 
     async def test() -> None:
-        registry, port = await Registry(answer(503, b"")).start(), free_port()
+        registry, port = await Registry(http_response(503, b"")).start(), free_port()
         path = tmp_path / "config.json"
         more = {"listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{registry.port}"}
         path.write_text(json.dumps(config(**more)))
@@ -465,7 +465,7 @@
             stderr=asyncio.subprocess.PIPE,
         )
         name = Path(f"/proc/{process.pid}/cmdline")
-        async with asyncio.timeout(LIMIT):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             while not name.read_bytes().startswith(sys.executable.encode()):
                 await asyncio.sleep(0)
         process.send_signal(signal.SIGHUP)
@@ -510,7 +510,7 @@
     """
 
     async def test() -> None:
-        registry, port = await Registry(answer(503, b"")).start(), free_port()
+        registry, port = await Registry(http_response(503, b"")).start(), free_port()
         path = tmp_path / "config.json"
         path.write_text(
             json.dumps(config(listen=f"127.0.0.1:{port}", discovery=f"127.0.0.1:{registry.port}"))
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -10,7 +10,7 @@
     Client,
     ManualClock,
     RunningGateway,
-    entry,
+    host_entry,
     request,
     run,
     running_gateway,
@@ -92,7 +92,7 @@
 )
 def test_an_invalid_request_is_answered_with_an_error_and_not_handled(data: bytes, status: int) -> None:
     async def test() -> None:
-        async with running_gateway(entry("s-1", 1)) as w:
+        async with running_gateway(host_entry("s-1", 1)) as w:
             assert (await w.ask(data)).status == status
             assert not w.script.received(api.Request)
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -9,7 +9,18 @@
 
 import pytest
 from helpers import Bench, full_list, host_info
-from net_helpers import Peer, answer, chunk, entry, line, request, run, running_gateway, settings, until
+from net_helpers import (
+    FakeServer,
+    chunk,
+    host_entry,
+    http_response,
+    list_message,
+    request,
+    run,
+    running_gateway,
+    settings,
+    until,
+)
 
 from coralvale import interface as api
 from coralvale.logic import MAX_CANDIDATES, MIN_CANDIDATES, MIN_SUBSET_SIZE
@@ -40,7 +51,11 @@
         discovery = Discovery(("127.0.0.1", 1), (), (), lambda _, hosts, __: host_counts.append(len(hosts)))
         watch = discovery.watch = Watch(discovery)
         names = [f's-{i:08x} "{{[' for i in range(SIZE)]  # brackets in a string must not count
-        message = {"index": 42, "snapshot": True, "endpoints": [entry(n, 1 + i) for i, n in enumerate(names)]}
+        message = {
+            "index": 42,
+            "snapshot": True,
+            "endpoints": [host_entry(n, 1 + i) for i, n in enumerate(names)],
+        }
         text = json.dumps(message, indent=indent).encode() + b"\n"
         for start in range(0, len(text), piece):
             watch.on_body(text[start : start + piece])
@@ -53,12 +68,12 @@
 
 def test_one_of_a_thousand_gateways_starts_with_a_thousand_hosts_and_serves_from_a_later_one() -> None:
     async def test() -> None:
-        host = await Peer(answer(body=b"served")).start()
-        known = [entry(f"s-{i}", 1 + i, status="leaving") for i in range(SIZE)]
+        host = await FakeServer(http_response(body=b"served")).start()
+        known = [host_entry(f"s-{i}", 1 + i, status="leaving") for i in range(SIZE)]
         async with running_gateway(*known, real_module=True, n_instances=SIZE, me=SIZE - 1) as w:
             watch = await w.registry.watch()
             assert len(w.node.discovery.endpoints) == SIZE
-            watch.reply(chunk(line(42, entry("s-last", host.port))))
+            watch.reply(chunk(list_message(42, host_entry("s-last", host.port))))
             await until(lambda: "s-last" in w.node.discovery.endpoints)
             quota = f"units=1,spread={SIZE},first={SIZE - 1}"
             assert (await w.ask(request(Quota_Info=quota))).body == b"served"
@@ -107,7 +122,7 @@
         "listen": "127.0.0.1:1",
         "discovery": "127.0.0.1:2",
         "seed": "1",
-        "known": {"index": 1, "snapshot": True, "endpoints": [entry(f"s-{i}", 1) for i in range(SIZE)]},
+        "known": {"index": 1, "snapshot": True, "endpoints": [host_entry(f"s-{i}", 1) for i in range(SIZE)]},
         "settings": settings(n_instances=SIZE, me=SIZE - 1),
     }
     config = parse_config(json.loads(json.dumps(data)))
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 import pytest
-from net_helpers import Peer, answer, hold_connects, run, until, with_timeout
+from net_helpers import FakeServer, hold_connects, http_response, run, until, with_timeout
 
 from coralvale.interface import Outcome
 from coralvale.net.clock import Clock
@@ -39,7 +39,7 @@
 class Harness:
     upstreams: Upstreams
     clock: TestClock
-    host: Peer
+    host: FakeServer
     ended: asyncio.Queue[tuple[Attempt, Outcome, Response | None]] = field(default_factory=asyncio.Queue)
 
     def send(
@@ -59,7 +59,7 @@
 async def harness(
     auto: bytes | None = None, max_connections: int = 10, connect_timeout: float = 5.0
 ) -> AsyncIterator[Harness]:
-    host, clock = await Peer(auto).start(), TestClock()
+    host, clock = await FakeServer(auto).start(), TestClock()
     yield Harness(Upstreams(clock, connect_timeout, 15.0, max_connections), clock, host)
     host.stop()
 
@@ -67,26 +67,26 @@
 @pytest.mark.parametrize(
     ("reply", "outcome"),
     [
-        (answer(), Outcome.OK),
-        (answer(500), Outcome.ERROR),
-        (answer(404), Outcome.ERROR),
-        (answer(204, b""), Outcome.ERROR),
-        (answer(503), Outcome.ERROR),
-        (answer(504), Outcome.ERROR),
-        (answer(503, X_Not_Processed="0"), Outcome.ERROR),
-        (answer(500, X_Not_Processed="1"), Outcome.ERROR),
-        (answer(503, X_Not_Processed="1"), Outcome.FULL),
-        (answer(504, X_Not_Processed="1"), Outcome.FULL),
+        (http_response(), Outcome.OK),
+        (http_response(500), Outcome.ERROR),
+        (http_response(404), Outcome.ERROR),
+        (http_response(204, b""), Outcome.ERROR),
+        (http_response(503), Outcome.ERROR),
+        (http_response(504), Outcome.ERROR),
+        (http_response(503, X_Not_Processed="0"), Outcome.ERROR),
+        (http_response(500, X_Not_Processed="1"), Outcome.ERROR),
+        (http_response(503, X_Not_Processed="1"), Outcome.FULL),
+        (http_response(504, X_Not_Processed="1"), Outcome.FULL),
         (b"nonsense\r\n\r\n", Outcome.ERROR),
-        (b"HTTP/1.1 100 Continue\r\n\r\n" + answer(), Outcome.OK),
-        (answer(200, b"x" * (64 * 1024 + 1)), Outcome.ERROR),
+        (b"HTTP/1.1 100 Continue\r\n\r\n" + http_response(), Outcome.OK),
+        (http_response(200, b"x" * (64 * 1024 + 1)), Outcome.ERROR),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx", Outcome.ERROR),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\nok", Outcome.ERROR),
         (b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nok", Outcome.ERROR),
         (b"HTTP/1.1 200 OK\r\n" + b"X: y\r\n" * 20_000, Outcome.ERROR),
-        (b"HTTP/1.1 102 Processing\r\n\r\n" * 3 + answer(), Outcome.OK),
+        (b"HTTP/1.1 102 Processing\r\n\r\n" * 3 + http_response(), Outcome.OK),
         (b"HTTP/1.1 102 Processing\r\n\r\n" * 100, Outcome.ERROR),
-        (answer(Usage_Percent="1e999", X_Server_Load="[" * 9000), Outcome.OK),
+        (http_response(Usage_Percent="1e999", X_Server_Load="[" * 9000), Outcome.OK),
     ],
 )
 def test_a_response_has_the_outcome_that_its_status_headers_and_size_call_for(
@@ -135,17 +135,17 @@
     async def test() -> None:
         async with harness() as h:
             h.send()
-            (await h.host.next()).reset()
+            (await h.host.next_request()).reset()
             assert await h.outcome() is Outcome.RESET
             h.send()
-            arrived = await h.host.next()
+            arrived = await h.host.next_request()
             arrived.reply(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
             arrived.close()
             assert await h.outcome() is Outcome.RESET
             h.send()
-            (await h.host.next()).reply(answer())
+            (await h.host.next_request()).reply(http_response())
             assert await h.outcome() is Outcome.OK
-            assert h.host.connections == 3 and h.host.arrived.empty()
+            assert h.host.connections == 3 and h.host.requests.empty()
 
     run(test())
 
@@ -172,16 +172,16 @@
         async with harness() as h:
             h.send()
             h.send()
-            first, second = await h.host.next(), await h.host.next()
+            first, second = await h.host.next_request(), await h.host.next_request()
             for arrived in (first, second):
-                arrived.reply(answer())
+                arrived.reply(http_response())
                 assert await h.outcome() is Outcome.OK
             for _ in range(3):
                 h.clock.offset += 1  # past the reuse delay
                 h.send()
-                arrived = await h.host.next()
+                arrived = await h.host.next_request()
                 assert arrived.connection == second.connection
-                arrived.reply(answer())
+                arrived.reply(http_response())
                 assert await h.outcome() is Outcome.OK
             assert h.host.connections == 2
 
@@ -190,15 +190,15 @@
 
 def test_a_connection_that_the_host_closed_is_not_used_again() -> None:
     async def test() -> None:
-        async with harness(auto=answer()) as h:
+        async with harness(auto=http_response()) as h:
             h.send()
             assert await h.outcome() is Outcome.OK
-            (await h.host.next()).close()
+            (await h.host.next_request()).close()
             await until(lambda: h.upstreams.open_count == 0)
             h.send()
             assert await h.outcome() is Outcome.OK
             assert h.host.connections == 2
-        async with harness(auto=answer(Connection="close")) as h:
+        async with harness(auto=http_response(Connection="close")) as h:
             for _ in range(2):
                 h.send()
                 assert await h.outcome() is Outcome.OK
@@ -218,7 +218,7 @@
                 h.send(address=host.getsockname())
                 first, _ = await with_timeout(loop.sock_accept(host))
                 await with_timeout(loop.sock_recv(first, 1000))
-                await with_timeout(loop.sock_sendall(first, answer()))
+                await with_timeout(loop.sock_sendall(first, http_response()))
                 assert await h.outcome() is Outcome.OK
                 first.close()
                 h.send(address=host.getsockname())  # at once: the loop has not yet read that the host closed
@@ -231,7 +231,7 @@
 
 def test_idle_connections_are_closed_before_the_idle_timeout_of_the_hosts() -> None:
     async def test() -> None:
-        async with harness(auto=answer()) as h:
+        async with harness(auto=http_response()) as h:
             h.send()
             assert await h.outcome() is Outcome.OK
             h.clock.offset = 12.5  # of the 15 s that hosts keep idle connections
@@ -248,13 +248,15 @@
     async def test() -> None:
         async with harness() as h:
             h.send()
-            (await h.host.next()).reply(answer(body=b"own") + answer(500, body=b"nobody's"))
+            (await h.host.next_request()).reply(
+                http_response(body=b"own") + http_response(500, body=b"nobody's")
+            )
             _, outcome, own = await with_timeout(h.ended.get())
             assert outcome is Outcome.OK and own is not None and own.body == b"own"
             h.send()
-            arrived = await h.host.next()
+            arrived = await h.host.next_request()
             assert arrived.connection == 2
-            arrived.reply(answer())
+            arrived.reply(http_response())
             assert await h.outcome() is Outcome.OK
 
     run(test())
@@ -264,14 +266,14 @@
     async def test() -> None:
         async with harness() as h:
             attempt = h.send()
-            late = await h.host.next()
+            late = await h.host.next_request()
             h.upstreams.abort_attempt(attempt, Outcome.TIMEOUT)
             assert await h.outcome() is Outcome.TIMEOUT
-            late.reply(answer(body=b"late"))
+            late.reply(http_response(body=b"late"))
             h.send()
-            arrived = await h.host.next()
+            arrived = await h.host.next_request()
             assert arrived.connection == 2
-            arrived.reply(answer(body=b"own"))
+            arrived.reply(http_response(body=b"own"))
             _, outcome, own = await with_timeout(h.ended.get())
             assert outcome is Outcome.OK and own is not None and own.body == b"own"
             assert h.ended.empty()
@@ -281,7 +283,7 @@
 
 def test_a_connection_established_after_its_attempt_was_aborted_serves_the_next() -> None:
     async def test() -> None:
-        async with harness(answer()) as h:
+        async with harness(http_response()) as h:
             started, go = hold_connects(h.upstreams)
             late = h.send()
             await with_timeout(started.wait())
@@ -289,17 +291,17 @@
             assert await h.outcome() is Outcome.NOT_SENT  # it never ran, whatever it was aborted for
             go.set()
             await until(lambda: any(pool.idle_connections for pool in h.upstreams.pools.values()))
-            assert h.host.arrived.empty()
+            assert h.host.requests.empty()
             h.send()
             assert await h.outcome() is Outcome.OK
-            assert h.host.connections == 1 and h.host.arrived.qsize() == 1
+            assert h.host.connections == 1 and h.host.requests.qsize() == 1
 
     run(test())
 
 
 def test_an_attempt_that_became_pointless_while_connecting_is_not_written() -> None:
     async def test() -> None:
-        async with harness(auto=answer()) as h:
+        async with harness(auto=http_response()) as h:
             attempt = h.send()
             h.upstreams.abort_attempt(attempt, Outcome.TIMEOUT)
             assert await h.outcome() is Outcome.NOT_SENT
@@ -307,7 +309,7 @@
             assert await h.outcome() is Outcome.NOT_SENT
             h.send()
             assert await h.outcome() is Outcome.OK
-            assert h.host.arrived.qsize() == 1 and h.ended.empty()
+            assert h.host.requests.qsize() == 1 and h.ended.empty()
 
     run(test())
 
@@ -315,14 +317,14 @@
 def test_the_connection_limit_holds_and_idle_connections_make_room() -> None:
     async def test() -> None:
         async with harness(max_connections=2) as h:
-            other = await Peer(answer()).start()
+            other = await FakeServer(http_response()).start()
             h.send()
             h.send()
-            first = await h.host.next()
-            await h.host.next()
+            first = await h.host.next_request()
+            await h.host.next_request()
             h.send(address=other.address)
             assert await h.outcome() is Outcome.NOT_SENT
-            first.reply(answer())
+            first.reply(http_response())
             assert await h.outcome() is Outcome.OK
             h.send(address=other.address)
             assert await h.outcome() is Outcome.OK
@@ -356,17 +358,20 @@
     async def test() -> None:
         async with harness() as h:
             first, second = h.send(), h.send()
-            one, two = await h.host.next(), await h.host.next()
-            one.reply(answer())
+            one, two = await h.host.next_request(), await h.host.next_request()
+            one.reply(http_response())
             assert await h.outcome() is Outcome.OK
             h.upstreams.retire(first.host_instance)  # one connection is idle, one busy
             await until(lambda: h.host.closed == 1)
-            two.reply(answer())
+            two.reply(http_response())
             assert await h.outcome() is Outcome.OK and second.ended
             await until(lambda: h.host.closed == 2 and h.upstreams.open_count == 0)
             h.send(host_id="s-2")
             h.send(host_id="s-1")
-            assert {(await h.host.next()).connection, (await h.host.next()).connection} == {3, 4}
+            assert {(await h.host.next_request()).connection, (await h.host.next_request()).connection} == {
+                3,
+                4,
+            }
 
     run(test())
 
@@ -377,16 +382,16 @@
     async def test() -> None:
         async with harness() as h:
             h.send()
-            arrived = await h.host.next()
+            arrived = await h.host.next_request()
             h.upstreams.max_connections = 1  # so that the next attempt has to wait
             pool = next(iter(h.upstreams.pools.values()))
             waiting = Attempt("s-1", h.host.address, lambda: PAYLOAD, lambda *end: h.ended.put_nowait(end))
             pool.waiting_attempts.append(waiting)
-            arrived.reply(answer(body=b"right"))
+            arrived.reply(http_response(body=b"right"))
             _, outcome, got = await with_timeout(h.ended.get())
             assert outcome is Outcome.OK and got is not None and got.body == b"right"
             assert not waiting.connection  # not in the same turn of the loop
-            arrived.reply(answer(body=b"wrong"))
+            arrived.reply(http_response(body=b"wrong"))
             await until(lambda: h.upstreams.open_count == 0)
             assert not waiting.ended
 
@@ -402,7 +407,7 @@
     async def test() -> None:
         async with harness() as h:
             h.send()
-            first, timers = await h.host.next(), list[tuple[float, Callable[[], None]]]()
+            first, timers = await h.host.next_request(), list[tuple[float, Callable[[], None]]]()
             loop = h.upstreams.loop
 
             def record_timer(delay: float, callback: Callable[..., None], *args: Any) -> None:
@@ -414,14 +419,14 @@
                 pool.waiting_attempts.append(
                     Attempt("s-1", h.host.address, lambda: PAYLOAD, lambda *end: h.ended.put_nowait(end))
                 )
-            first.reply(answer(body=b"first"))
+            first.reply(http_response(body=b"first"))
             await with_timeout(h.ended.get())
             if not attempt_waits:
                 h.send()
             for delay, callback in timers:
                 if delay <= 0.005:
                     callback()
-            first.reply(answer(body=b"second"))
+            first.reply(http_response(body=b"second"))
             await until(lambda: h.upstreams.open_count == 0)
             assert h.ended.empty()
             h.upstreams.loop = loop
@@ -429,8 +434,8 @@
                 if delay > 0.005:
                     callback()
             if not attempt_waits:
-                other = await h.host.next()
-                other.reply(answer(body=b"own"))
+                other = await h.host.next_request()
+                other.reply(http_response(body=b"own"))
                 _, outcome, got = await with_timeout(h.ended.get())
                 assert outcome is Outcome.OK and got is not None and got.body == b"own"
 
@@ -444,7 +449,7 @@
     async def test() -> None:
         async with harness() as h:
             h.send()
-            (await h.host.next()).reply(answer(Usage_Percent="1"))
+            (await h.host.next_request()).reply(http_response(Usage_Percent="1"))
             assert await h.outcome() is Outcome.ERROR
             await until(lambda: h.upstreams.open_count == 0)
             assert h.ended.empty()
@@ -463,15 +468,15 @@
             async def ask(after: float) -> int:
                 h.clock.offset += after
                 h.send()
-                arrived = await h.host.next()
-                arrived.reply(answer())
+                arrived = await h.host.next_request()
+                arrived.reply(http_response())
                 assert await h.outcome() is Outcome.OK
                 return arrived.connection
 
             assert [await ask(after) for after in (0.0, 0.1, 0.1, 2.0)] == [1] * 4
             h.clock.offset += 3.0
             h.send()
-            (await h.host.next()).reset()
+            (await h.host.next_request()).reset()
             assert await h.outcome() is Outcome.RESET
             assert await ask(0.0) == 2
             assert await ask(0.1) == await ask(0.1) == 2  # those idle for less are still reused
