--- a/testbed/soak/__main__.py
+++ b/testbed/soak/__main__.py
@@ -10,36 +10,36 @@
 import click
 
 from testbed.soak.gateways import ROOT, deploy_command
-from testbed.soak.series import Result, play_all
+from testbed.soak.series import RunResult, run_all
 
-MOST_JOBS = 8  # runs at a time: each is four processes
-BUILD_TIME = 300.0  # s
-TOLD = 10  # violations of a run that are printed
-FAILED, WRONG_OPTION, INTERRUPTED = 1, 2, 128 + signal.SIGINT  # exit codes
+MAX_JOBS = 8  # runs at a time: each is four processes
+BUILD_TIMEOUT_S = 300.0  # s
+MAX_PRINTED_VIOLATIONS = 10  # violations of a run that are printed
+EXIT_FAILED, EXIT_WRONG_OPTION, EXIT_INTERRUPTED = 1, 2, 128 + signal.SIGINT  # exit codes
 
 
-class CannotBuild(click.ClickException):
+class BuildError(click.ClickException):
     """The gateway could not be built."""
 
 
 def build() -> None:
-    """Runs the deploy file's `build`; raises CannotBuild."""
+    """Runs the deploy file's `build`; raises BuildError."""
     command = ["sh", "-c", deploy_command("build")]
     try:
-        subprocess.run(command, cwd=ROOT, check=True, timeout=BUILD_TIME, capture_output=True)
+        subprocess.run(command, cwd=ROOT, check=True, timeout=BUILD_TIMEOUT_S, capture_output=True)
     except (subprocess.CalledProcessError, subprocess.TimeoutExpired) as error:
-        raise CannotBuild(f"cannot build the gateway: {error}") from None
+        raise BuildError(f"cannot build the gateway: {error}") from None
 
 
-def tell(result: Result, seconds: float, records: Path) -> None:
+def print_result(result: RunResult, seconds: float, records: Path) -> None:
     """Prints a run: its figures, or its violations and the command that plays it again."""
     figures = f"{result.requests} requests, {result.answers} answers, {result.starts} starts"
     click.echo(f"seed {result.seed}: {figures}, {result.seconds:.1f} s, {len(result.violations)} violations")
-    for violation in result.violations[:TOLD]:
+    for violation in result.violations[:MAX_PRINTED_VIOLATIONS]:
         click.echo(f"    {violation}")
     if result.failure:
         click.echo(f"    not played: {result.failure}")
-    if not result.is_good:
+    if not result.passed:
         click.echo(f"    again: python -m testbed.soak --seeds 1 --first {result.seed} --seconds {seconds:g}")
         click.echo(f"    record and logs: {records / str(result.seed)}")
 
@@ -50,7 +50,7 @@
 @click.option(
     "--seconds", type=click.FloatRange(2.0, 600.0), default=8.0, show_default=True, help="Clients send."
 )
-@click.option("--jobs", type=click.IntRange(1, MOST_JOBS), default=2, show_default=True, help="At a time.")
+@click.option("--jobs", type=click.IntRange(1, MAX_JOBS), default=2, show_default=True, help="At a time.")
 @click.option(
     "--records",
     type=click.Path(path_type=Path, file_okay=False),
@@ -64,20 +64,20 @@
     Exit codes: 0 no violation, 1 some or a run that was not played, 2 a wrong option, 130 interrupted.
     """
     build()
-    results: list[Result] = []
+    results: list[RunResult] = []
     try:
-        for result in play_all(range(first, first + seeds), seconds, records, jobs):
+        for result in run_all(range(first, first + seeds), seconds, records, jobs):
             results.append(result)
-            tell(result, seconds, records)
+            print_result(result, seconds, records)
     except KeyboardInterrupt:
         click.echo(f"interrupted after {len(results)} of {seeds} runs; records: {records}")
-        return INTERRUPTED
-    failed = sorted(result.seed for result in results if not result.is_good)
+        return EXIT_INTERRUPTED
+    failed = sorted(result.seed for result in results if not result.passed)
     requests, starts = sum(r.requests for r in results), sum(r.starts for r in results)
     click.echo(
         f"{len(results)} runs, {requests} requests, {starts} starts, {len(failed)} failed {failed or ''}"
     )
-    return FAILED if failed else 0
+    return EXIT_FAILED if failed else 0
 
 
 def main() -> int:
@@ -86,9 +86,9 @@
         return int(soak.main(prog_name="python -m testbed.soak", standalone_mode=False) or 0)
     except click.ClickException as error:
         click.echo(f"soak: {error.format_message()}", err=True)
-        return WRONG_OPTION if isinstance(error, click.UsageError) else FAILED
+        return EXIT_WRONG_OPTION if isinstance(error, click.UsageError) else EXIT_FAILED
     except click.Abort:
-        return INTERRUPTED
+        return EXIT_INTERRUPTED
 
 
 if __name__ == "__main__":
--- a/testbed/soak/clients.py
+++ b/testbed/soak/clients.py
@@ -13,13 +13,13 @@
 from testbed.soak.gateways import GatewayProcess
 from testbed.standins.http import Message, read_message
 
-LEAVES = 0.12  # share of the requests whose client leaves while it waits
-HURRIED = 0.05  # share of the requests with very little time left
-KEPT = 24  # connections that a client keeps to a gateway
-AFTER_TIME = 2.0  # s after its time in which an answer is still read
-REPEATS: tuple[r.Repeat, ...] = ("safe", "safe", "keyed", "unsafe")
+ABANDON_SHARE = 0.12  # share of the requests whose client leaves while it waits
+SHORT_TIMEOUT_SHARE = 0.05  # share of the requests with very little time left
+MAX_IDLE_CONNECTIONS = 24  # connections that a client keeps to a gateway
+LATE_READ_TIME_S = 2.0  # s after its time in which an answer is still read
+REQUEST_CLASSES: tuple[r.Repeat, ...] = ("safe", "safe", "keyed", "unsafe")
 PLANS = ("team", "capped")
-BOOKS_CUSTOMERS = (5, 13, 34)  # of plan `team`; gateway 0 has all their requests, and counts them first
+AUDITED_CUSTOMERS = (5, 13, 34)  # of plan `team`; gateway 0 has all their requests, and counts them first
 OTHER_CUSTOMERS = range(100, 130)
 
 
@@ -28,27 +28,27 @@
     """A request as its client makes it."""
 
     id: str
-    repeat: r.Repeat
+    idempotency: r.Repeat
     plan: str
     customer: int
     units: int
-    patience: float
+    timeout: float
     leaves_after: float | None
 
-    def text(self, spread: int) -> bytes:
+    def encode(self, entry_gateways: int) -> bytes:
         """The request in the protocol's form."""
-        method = "GET" if self.repeat == "safe" else "POST"
+        method = "GET" if self.idempotency == "safe" else "POST"
         lines = [
             f"{method} /api HTTP/1.1",
             "Host: service.internal",
             f"X-Request-ID: {self.id}",
-            f"X-Priority-Class: {self.repeat}",
+            f"X-Priority-Class: {self.idempotency}",
             f"Plan: {self.plan}",
             f"Cookie: client={self.customer:016x}",
-            f"X-Timeout: {self.patience:.3f}",
-            f"Quota-Info: units={self.units},spread={spread},first=0",
+            f"X-Timeout: {self.timeout:.3f}",
+            f"Quota-Info: units={self.units},spread={entry_gateways},first=0",
         ]
-        if self.repeat == "keyed":
+        if self.idempotency == "keyed":
             lines.append(f"Idempotency-Key: {self.id}")
         if method == "POST":
             lines.append("Content-Length: 4")
@@ -63,7 +63,7 @@
     start: int
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
-    used: int = 0
+    requests_sent: int = 0
 
     @property
     def is_open(self) -> bool:
@@ -76,45 +76,51 @@
     def __init__(
         self,
         gateways: list[GatewayProcess],
-        spread: int,
-        patience: float,
+        entry_gateways: int,
+        timeout: float,
         rng: random.Random,
-        note: Callable[[r.AnyEntry], None],
+        add_entry: Callable[[r.AnyEntry], None],
     ) -> None:
-        self.gateways, self.spread, self.patience, self.rng, self.note = gateways, spread, patience, rng, note
+        self.gateways, self.entry_gateways, self.timeout, self.rng, self.add_entry = (
+            gateways,
+            entry_gateways,
+            timeout,
+            rng,
+            add_entry,
+        )
         self.idle: list[Connection] = []
         self.tasks: set[asyncio.Task[None]] = set()
-        self.serial = 0
+        self.last_id = 0
 
-    def draw(self) -> Request:
+    def draw_request(self) -> Request:
         """The next request."""
-        self.serial += 1
+        self.last_id += 1
         rng = self.rng
-        books, leaves = rng.random() < 0.25, rng.random() < LEAVES
-        patience = rng.uniform(0.3, 1.0) * self.patience
-        if rng.random() < HURRIED:
-            patience = rng.uniform(0.01, 0.1)
+        books, leaves = rng.random() < 0.25, rng.random() < ABANDON_SHARE
+        timeout = rng.uniform(0.3, 1.0) * self.timeout
+        if rng.random() < SHORT_TIMEOUT_SHARE:
+            timeout = rng.uniform(0.01, 0.1)
         return Request(
-            id=f"q{self.serial}",
-            repeat=rng.choice(REPEATS),
+            id=f"q{self.last_id}",
+            idempotency=rng.choice(REQUEST_CLASSES),
             plan=PLANS[0] if books else rng.choice(PLANS),
-            customer=rng.choice(BOOKS_CUSTOMERS if books else OTHER_CUSTOMERS),
+            customer=rng.choice(AUDITED_CUSTOMERS if books else OTHER_CUSTOMERS),
             units=rng.choice((1, 1, 2, 4)),
-            patience=patience,
-            leaves_after=rng.uniform(0.0, rng.choice((0.03, 0.8))) * patience if leaves else None,
+            timeout=timeout,
+            leaves_after=rng.uniform(0.0, rng.choice((0.03, 0.8))) * timeout if leaves else None,
         )
 
-    async def send_for(self, seconds: float, per_second: float) -> None:
+    async def send_requests(self, seconds: float, per_second: float) -> None:
         """Sends requests at random times, whatever becomes of those before."""
         end = time.monotonic() + seconds
         due = time.monotonic()
         while (due := due + self.rng.expovariate(per_second)) < end:
             await asyncio.sleep(max(0.0, due - time.monotonic()))
-            self.start(self.draw())
+            self.start_request(self.draw_request())
 
-    def start(self, request: Request) -> asyncio.Task[None]:
+    def start_request(self, request: Request) -> asyncio.Task[None]:
         """Sends one request, in a task of its own."""
-        task = asyncio.get_running_loop().create_task(self.perform(request))
+        task = asyncio.get_running_loop().create_task(self.process(request))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         return task
@@ -127,17 +133,17 @@
             connection.writer.close()
         self.idle.clear()
 
-    async def perform(self, request: Request) -> None:
+    async def process(self, request: Request) -> None:
         """One request to its end; sent once more where a kept connection ended unanswered."""
-        connection = await self._connection(request, only_new=False)
-        if connection and await self._ask(request, connection, resent=False):
-            connection = await self._connection(request, only_new=True)
+        connection = await self._get_connection(request, only_new=False)
+        if connection and await self._send(request, connection, resent=False):
+            connection = await self._get_connection(request, only_new=True)
             if connection:
-                await self._ask(request, connection, resent=True)
+                await self._send(request, connection, resent=True)
 
-    async def _connection(self, request: Request, only_new: bool) -> Connection | None:
+    async def _get_connection(self, request: Request, only_new: bool) -> Connection | None:
         """A connection that is kept, of any start that still holds it open, or a new one."""
-        pinned = request.customer in BOOKS_CUSTOMERS
+        pinned = request.customer in AUDITED_CUSTOMERS
         if not only_new:
             kept = [c for c in self.idle if c.gateway.index == 0 or not pinned]
             while kept:
@@ -146,56 +152,61 @@
                 if connection.is_open:
                     return connection
                 connection.writer.close()
-        open_gateways = [g for g in self.gateways if self._takes_new(g) and (g.index == 0 or not pinned)]
+        open_gateways = [
+            g for g in self.gateways if self._accepts_connections(g) and (g.index == 0 or not pinned)
+        ]
         self.rng.shuffle(open_gateways)
         for gateway in open_gateways:
             with contextlib.suppress(OSError, TimeoutError):
                 async with asyncio.timeout(1.0):
                     streams = await asyncio.open_connection("127.0.0.1", gateway.port)
-                return Connection(gateway, gateway.number, *streams)
+                return Connection(gateway, gateway.start_number, *streams)
         return None
 
     @staticmethod
-    def _takes_new(gateway: GatewayProcess) -> bool:
+    def _accepts_connections(gateway: GatewayProcess) -> bool:
         return gateway.is_ready or time.monotonic() < gateway.new_connections_until
 
-    async def _ask(self, request: Request, connection: Connection, resent: bool) -> bool:
+    async def _send(self, request: Request, connection: Connection, resent: bool) -> bool:
         """Sends a request and notes what comes; tells whether it has to be sent once more."""
-        gateway, kept = connection.gateway, connection.used > 0
-        connection.used += 1
+        gateway, kept = connection.gateway, connection.requests_sent > 0
+        connection.requests_sent += 1
         sent = r.RequestSent(
             at=time.monotonic(), request=request.id, gateway=gateway.index, start=connection.start,
-            repeat=request.repeat, patience=request.patience, customer=request.customer,
+            repeat=request.idempotency, patience=request.timeout, customer=request.customer,
             units=float(request.units), kept=kept, resent=resent,
         )  # fmt: skip
-        connection.writer.write(request.text(self.spread))
-        self.note(sent)
+        connection.writer.write(request.encode(self.entry_gateways))
+        self.add_entry(sent)
         waiting = asyncio.ensure_future(read_message(connection.reader))
-        limit = request.patience + AFTER_TIME if request.leaves_after is None else request.leaves_after
+        limit = request.timeout + LATE_READ_TIME_S if request.leaves_after is None else request.leaves_after
         try:
             message = await asyncio.wait_for(waiting, limit)
         except TimeoutError:
             connection.writer.transport.abort()
             if request.leaves_after is not None:
-                self.note(r.ClientLeft(time.monotonic(), request.id))
+                self.add_entry(r.ClientLeft(time.monotonic(), request.id))
             return False
         except (OSError, asyncio.IncompleteReadError) as error:
             is_partial = isinstance(error, asyncio.IncompleteReadError) and bool(error.partial)
             connection.writer.close()
-            again = kept and not resent and not is_partial
-            if not again:
-                self.note(r.ConnectionEnded(time.monotonic(), request.id, is_partial))
-            return again
-        self._note_answer(request, connection, message)
+            resend = kept and not resent and not is_partial
+            if not resend:
+                self.add_entry(r.ConnectionEnded(time.monotonic(), request.id, is_partial))
+            return resend
+        self._record_response(request, connection, message)
         return False
 
-    def _note_answer(self, request: Request, connection: Connection, message: Message) -> None:
-        own = message.body == request.id.encode()
-        self.note(r.Answered(time.monotonic(), request.id, message.status, own))
+    def _record_response(self, request: Request, connection: Connection, message: Message) -> None:
+        is_own = message.body == request.id.encode()
+        self.add_entry(r.Answered(time.monotonic(), request.id, message.status, is_own))
         if connection.reader._buffer:  # type: ignore[attr-defined]
-            self.note(r.ExtraAnswer(time.monotonic(), request.id))
+            self.add_entry(r.ExtraAnswer(time.monotonic(), request.id))
             connection.writer.close()
-        elif message.headers.get(b"connection", b"").lower() == b"close" or len(self.idle) >= KEPT:
+        elif (
+            message.headers.get(b"connection", b"").lower() == b"close"
+            or len(self.idle) >= MAX_IDLE_CONNECTIONS
+        ):
             connection.writer.close()
         else:
             self.idle.append(connection)
--- a/testbed/soak/gateways.py
+++ b/testbed/soak/gateways.py
@@ -18,10 +18,10 @@
 from testbed.standins.ports import free_port
 
 ROOT = Path(__file__).resolve().parent.parent.parent
-POLL = 0.02  # s between looks at whether a process is ready
-UP = b"GET /up HTTP/1.1\r\nHost: service.internal\r\n\r\n"
-FAILURES = ("Traceback", " ERROR ")  # in a log line: the gateway failed at something of its own
-PAGE = os.sysconf("SC_PAGE_SIZE")
+POLL_INTERVAL_S = 0.02  # s between looks at whether a process is ready
+UP_REQUEST = b"GET /up HTTP/1.1\r\nHost: service.internal\r\n\r\n"
+FAILURE_MARKERS = ("Traceback", " ERROR ")  # in a log line: the gateway failed at something of its own
+PAGE_SIZE_BYTES = os.sysconf("SC_PAGE_SIZE")
 Signal = Literal["SIGTERM", "SIGHUP", "SIGKILL"]
 
 
@@ -31,21 +31,21 @@
 
 
 class GatewayProcess:
-    """One gateway through all its starts; `note` takes what is seen of it."""
+    """One gateway through all its starts; `add_entry` takes what is seen of it."""
 
     def __init__(
         self,
         index: int,
         folder: Path,
         configuration: Callable[[], dict[str, Any]],
-        note: Callable[[r.AnyEntry], None],
+        add_entry: Callable[[r.AnyEntry], None],
     ) -> None:
-        self.index, self.folder, self.configuration, self.note = index, folder, configuration, note
+        self.index, self.folder, self.configuration, self.add_entry = index, folder, configuration, add_entry
         self.port = free_port()
-        self.number = -1  # of its starts, from 0 on
+        self.start_number = -1  # of its starts, from 0 on
         self.process: asyncio.subprocess.Process | None = None
         self.is_ready = False
-        self.is_ending = False  # it has got SIGTERM
+        self.is_stopping = False  # it has got SIGTERM
         self.new_connections_until = 0.0  # s, monotonic: how long after SIGTERM new clients may come
         self.paths = [self.folder / f"gateway{index}.json", self.folder / f"gateway{index}.log"]
         self.tasks: set[asyncio.Task[None]] = set()
@@ -57,8 +57,8 @@
 
     async def start(self) -> None:
         """Starts it; it is ready some time later."""
-        self.number += 1
-        self.is_ready = self.is_ending = False
+        self.start_number += 1
+        self.is_ready = self.is_stopping = False
         self.write_configuration()
         configuration, log = self.paths
         with log.open("ab") as errors:
@@ -67,40 +67,42 @@
                 cwd=ROOT, env={**os.environ, "LB_CONFIG": str(configuration)},
                 stdin=asyncio.subprocess.DEVNULL, stdout=errors, stderr=errors,
             )  # fmt: skip
-        self.note(r.ProcessStarted(time.monotonic(), self.index, self.number))
-        self._spawn(self._watch_start(self.process, self.number))
-        self._spawn(self._watch_end(self.process, self.number))
+        self.add_entry(r.ProcessStarted(time.monotonic(), self.index, self.start_number))
+        self._spawn(self._wait_until_ready(self.process, self.start_number))
+        self._spawn(self._wait_until_exit(self.process, self.start_number))
 
     def _spawn(self, coroutine: Any) -> None:  # noqa: ANN401
         task = asyncio.get_running_loop().create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _watch_start(self, process: asyncio.subprocess.Process, number: int) -> None:
-        while process.returncode is None and self.number == number and not self.is_ending:
-            if await self._answers_up():
-                descriptors, memory = self.sample()
-                self.note(r.ProcessReady(time.monotonic(), self.index, number, descriptors, memory))
-                self.is_ready = not self.is_ending
+    async def _wait_until_ready(self, process: asyncio.subprocess.Process, start_number: int) -> None:
+        while process.returncode is None and self.start_number == start_number and not self.is_stopping:
+            if await self._is_up():
+                descriptors, memory = self.resource_usage()
+                self.add_entry(
+                    r.ProcessReady(time.monotonic(), self.index, start_number, descriptors, memory)
+                )
+                self.is_ready = not self.is_stopping
                 return
-            await asyncio.sleep(POLL)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def _answers_up(self) -> bool:
+    async def _is_up(self) -> bool:
         with contextlib.suppress(OSError, asyncio.IncompleteReadError, TimeoutError):
             async with asyncio.timeout(1.0):
                 reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
                 try:
-                    writer.write(UP)
+                    writer.write(UP_REQUEST)
                     return (await read_message(reader)).status == 200
                 finally:
                     writer.close()
         return False
 
-    async def _watch_end(self, process: asyncio.subprocess.Process, number: int) -> None:
+    async def _wait_until_exit(self, process: asyncio.subprocess.Process, start_number: int) -> None:
         code = await process.wait()
-        if self.number == number:
+        if self.start_number == start_number:
             self.is_ready = False
-        self.note(r.ProcessExited(time.monotonic(), self.index, number, code))
+        self.add_entry(r.ProcessExited(time.monotonic(), self.index, start_number, code))
 
     @property
     def is_running(self) -> bool:
@@ -108,17 +110,17 @@
 
     def signal(self, name: Signal, planned: bool = False) -> None:
         """Sends it a signal, if it runs."""
-        if self.process is None or not self.is_running or (name == "SIGHUP" and not self._is_executed()):
+        if self.process is None or not self.is_running or (name == "SIGHUP" and not self._shell_has_execed()):
             return
-        self.note(r.ProcessSignalled(time.monotonic(), self.index, self.number, name, planned))
+        self.add_entry(r.ProcessSignalled(time.monotonic(), self.index, self.start_number, name, planned))
         if name == "SIGTERM":
-            self.is_ending = True
+            self.is_stopping = True
         if name != "SIGHUP":
             self.is_ready = False
         with contextlib.suppress(ProcessLookupError):
             self.process.send_signal(getattr(signal, name))
 
-    def _is_executed(self) -> bool:
+    def _shell_has_execed(self) -> bool:
         """Whether the shell has become the gateway; until then it may not have come to its trap."""
         assert self.process is not None
         try:
@@ -130,16 +132,16 @@
         """Holds the process up for a while."""
         if self.process is None or not self.is_running:
             return
-        process, begin = self.process, time.monotonic()
+        process, began_at = self.process, time.monotonic()
         with contextlib.suppress(ProcessLookupError):
             process.send_signal(signal.SIGSTOP)
             try:
                 await asyncio.sleep(seconds)
             finally:
                 process.send_signal(signal.SIGCONT)
-        self.note(r.Delayed(begin, self.index, time.monotonic()))
+        self.add_entry(r.Delayed(began_at, self.index, time.monotonic()))
 
-    async def wait(self, seconds: float) -> bool:
+    async def wait_for_exit(self, seconds: float) -> bool:
         """Whether it ends within so many seconds."""
         if self.process is None:
             return True
@@ -148,23 +150,23 @@
                 await self.process.wait()
         return not self.is_running
 
-    def sample(self) -> tuple[int, int]:
+    def resource_usage(self) -> tuple[int, int]:
         """Its open descriptors and resident memory (bytes); noughts where it has ended."""
         if self.process is None:
             return 0, 0
         try:
             folder = Path(f"/proc/{self.process.pid}")
             pages = int((folder / "statm").read_text().split()[1])
-            return len(list((folder / "fd").iterdir())), pages * PAGE
+            return len(list((folder / "fd").iterdir())), pages * PAGE_SIZE_BYTES
         except (OSError, IndexError, ValueError):
             return 0, 0
 
-    def note_failures(self) -> None:
+    def record_failures(self) -> None:
         """Notes the log's lines that tell of a failure of the gateway's own."""
         _, log = self.paths
         for text in log.read_text(errors="replace").splitlines() if log.exists() else []:
-            if any(sign in text for sign in FAILURES):
-                self.note(r.ErrorLogged(time.monotonic(), self.index, text[:200]))
+            if any(marker in text for marker in FAILURE_MARKERS):
+                self.add_entry(r.ErrorLogged(time.monotonic(), self.index, text[:200]))
 
     async def close(self) -> None:
         """Ends it for good, whatever it does."""
--- a/testbed/soak/plan.py
+++ b/testbed/soak/plan.py
@@ -6,135 +6,143 @@
 from dataclasses import dataclass
 from enum import Enum
 
-PATIENCES = (0.7, 1.2, 2.0, 3.0)  # s, the longest deadline of a run
-KILL_COUNTS = 3.0  # s as which a longer deadline counts for the kill of a planned restart
-KILL_AFTER = 0.7  # s after the longest deadline, from SIGTERM on, at which that kill comes at the earliest
-QUIET_START = 1.0  # s of a run ahead of its first trouble
-LONGEST_STALL = 0.15  # s
-CROWD_SHARE = 0.3  # of the runs have a crowd
+CLIENT_TIMEOUTS_S = (0.7, 1.2, 2.0, 3.0)  # s, the longest deadline of a run
+MAX_KILL_TIMEOUT_S = 3.0  # s as which a longer deadline counts for the kill of a planned restart
+KILL_MARGIN_S = 0.7  # s after the longest deadline, from SIGTERM on, at which that kill comes at the earliest
+FAULT_FREE_START_S = 1.0  # s of a run ahead of its first fault
+MAX_STALL_S = 0.15  # s
+FLOOD_SHARE = 0.3  # of the runs have a crowd
 
 
-class Trouble(Enum):
+class Fault(Enum):
     """Kinds of things that happen to gateways, hosts, discovery and the counter."""
 
     RESTART = "planned restart"
     KILL = "kill without a word"
     RELOAD = "new configuration"
     STALL = "stall"
-    CROWD = "crowd of idle clients"
+    CONNECTION_FLOOD = "crowd of idle clients"
     HOST_DRAINS = "host drains"
     HOST_HANGS = "host hangs"
     HOST_RESETS = "host resets connections"
-    HOST_TURNS_AWAY = "host turns requests away"
-    HOST_VANISHES = "host vanishes and comes back cold"
+    HOST_REJECTS = "host turns requests away"
+    HOST_RESTARTS = "host vanishes and comes back cold"
     WATCHES_SILENT = "watches fall silent"
     DISCOVERY_DOWN = "discovery is down"
-    COUNTER_TROUBLE = "calls to the counter go wrong"
+    COUNTER_FAULTS = "calls to the counter go wrong"
 
 
 @dataclass(frozen=True, slots=True)
-class Event:
+class FaultEvent:
     """Something that happens at a time (s from the begin) for a while (s), to one gateway or host."""
 
     at: float
-    trouble: Trouble
+    fault: Fault
     target: int = 0
-    seconds: float = 0.0
+    duration: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
+class RunPlan:
     """One run."""
 
     seed: int
     seconds: float
-    patience: float
+    client_timeout: float
     gateways: int
     hosts: int
     requests_per_second: float
-    whole_lists: bool
+    full_lists: bool
     drain_grace: float
-    uncertain_calls: bool  # calls to a counter in trouble may be late, lost or spoilt, and not only refused
-    events: tuple[Event, ...]
+    uncertain_counter_calls: (
+        bool  # calls to a counter in fault may be late, lost or spoilt, and not only refused
+    )
+    events: tuple[FaultEvent, ...]
 
     @property
     def kill_after(self) -> float:
         """Seconds from SIGTERM to the kill, the earliest that the protocol allows."""
-        return min(KILL_COUNTS, self.patience) + KILL_AFTER
+        return min(MAX_KILL_TIMEOUT_S, self.client_timeout) + KILL_MARGIN_S
 
 
-def draw(seed: int, seconds: float) -> Plan:
+def draw_plan(seed: int, seconds: float) -> RunPlan:
     """The run of a seed; `seconds` is how long its clients send."""
     rng = random.Random(seed)
     gateways, hosts = 3, rng.randint(5, 8)
-    patience = rng.choice(PATIENCES)
-    plan = Plan(
+    client_timeout = rng.choice(CLIENT_TIMEOUTS_S)
+    plan = RunPlan(
         seed=seed,
         seconds=seconds,
-        patience=patience,
+        client_timeout=client_timeout,
         gateways=gateways,
         hosts=hosts,
         requests_per_second=rng.uniform(40.0, 120.0),
-        whole_lists=rng.random() < 0.3,
+        full_lists=rng.random() < 0.3,
         drain_grace=rng.choice((1.0, 2.0)),
-        uncertain_calls=rng.random() < 0.5,
+        uncertain_counter_calls=rng.random() < 0.5,
         events=(),
     )
-    events = [*_signals(rng, plan), *_host_troubles(rng, plan), *_other_troubles(rng, plan)]
-    return Plan(
-        **{name: getattr(plan, name) for name in Plan.__slots__ if name != "events"},
+    events = [*_gateway_faults(rng, plan), *_host_faults(rng, plan), *_other_faults(rng, plan)]
+    return RunPlan(
+        **{name: getattr(plan, name) for name in RunPlan.__slots__ if name != "events"},
         events=tuple(sorted(events, key=lambda event: event.at)),
     )
 
 
-def _moment(rng: random.Random, plan: Plan) -> float:
-    return rng.uniform(QUIET_START, max(QUIET_START, plan.seconds))
+def _random_time(rng: random.Random, plan: RunPlan) -> float:
+    return rng.uniform(FAULT_FREE_START_S, max(FAULT_FREE_START_S, plan.seconds))
 
 
-def _signals(rng: random.Random, plan: Plan) -> list[Event]:
+def _gateway_faults(rng: random.Random, plan: RunPlan) -> list[FaultEvent]:
     """Restarts of all gateways but the first, in series, with reloads and stalls close to them."""
     events = []
     for gateway in range(1, plan.gateways):
-        at = rng.uniform(QUIET_START, max(QUIET_START, plan.seconds / 3))
+        at = rng.uniform(FAULT_FREE_START_S, max(FAULT_FREE_START_S, plan.seconds / 3))
         while at < plan.seconds:
-            trouble = Trouble.KILL if rng.random() < 0.2 else Trouble.RESTART
-            events.append(Event(at, trouble, gateway))
+            fault = Fault.KILL if rng.random() < 0.2 else Fault.RESTART
+            events.append(FaultEvent(at, fault, gateway))
             for _ in range(rng.choice((0, 0, 1, 2))):
-                events.append(Event(at + rng.uniform(-0.3, 1.0), Trouble.RELOAD, gateway))
+                events.append(FaultEvent(at + rng.uniform(-0.3, 1.0), Fault.RELOAD, gateway))
             for _ in range(rng.choice((0, 1, 2, 3))):
-                stall = rng.uniform(0.05, LONGEST_STALL)
-                events.append(Event(at + rng.uniform(0.0, plan.kill_after), Trouble.STALL, gateway, stall))
+                stall = rng.uniform(0.05, MAX_STALL_S)
+                events.append(FaultEvent(at + rng.uniform(0.0, plan.kill_after), Fault.STALL, gateway, stall))
             at += plan.kill_after + rng.uniform(2.0, 5.0)
     for _ in range(rng.choice((0, 1, 2))):
-        events.append(Event(_moment(rng, plan), Trouble.RELOAD, 0))
+        events.append(FaultEvent(_random_time(rng, plan), Fault.RELOAD, 0))
     for _ in range(rng.randint(0, 4)):
-        stall = rng.uniform(0.02, LONGEST_STALL)
-        events.append(Event(_moment(rng, plan), Trouble.STALL, rng.randrange(plan.gateways), stall))
+        stall = rng.uniform(0.02, MAX_STALL_S)
+        events.append(FaultEvent(_random_time(rng, plan), Fault.STALL, rng.randrange(plan.gateways), stall))
     return [event for event in events if event.at >= 0]
 
 
-def _host_troubles(rng: random.Random, plan: Plan) -> list[Event]:
+def _host_faults(rng: random.Random, plan: RunPlan) -> list[FaultEvent]:
     """Troubles of some hosts; two at least have none, so that something is served."""
     kinds = (
-        Trouble.HOST_DRAINS, Trouble.HOST_HANGS, Trouble.HOST_RESETS, Trouble.HOST_TURNS_AWAY,
-        Trouble.HOST_VANISHES,
+        Fault.HOST_DRAINS, Fault.HOST_HANGS, Fault.HOST_RESETS, Fault.HOST_REJECTS,
+        Fault.HOST_RESTARTS,
     )  # fmt: skip
     events = []
     for host in range(2, plan.hosts):
         for _ in range(rng.choice((0, 1, 1, 2))):
-            events.append(Event(_moment(rng, plan), rng.choice(kinds), host, rng.uniform(0.5, 4.0)))
+            events.append(FaultEvent(_random_time(rng, plan), rng.choice(kinds), host, rng.uniform(0.5, 4.0)))
     return events
 
 
-def _other_troubles(rng: random.Random, plan: Plan) -> list[Event]:
+def _other_faults(rng: random.Random, plan: RunPlan) -> list[FaultEvent]:
     events = []
     if rng.random() < 0.5:
-        events.append(Event(_moment(rng, plan), Trouble.WATCHES_SILENT))
+        events.append(FaultEvent(_random_time(rng, plan), Fault.WATCHES_SILENT))
     if rng.random() < 0.4:
-        events.append(Event(_moment(rng, plan), Trouble.DISCOVERY_DOWN, seconds=rng.uniform(0.5, 4.0)))
+        events.append(
+            FaultEvent(_random_time(rng, plan), Fault.DISCOVERY_DOWN, duration=rng.uniform(0.5, 4.0))
+        )
     for _ in range(rng.choice((1, 2, 3))):
-        events.append(Event(_moment(rng, plan), Trouble.COUNTER_TROUBLE, seconds=rng.uniform(1.0, 4.0)))
-    if rng.random() < CROWD_SHARE:
+        events.append(
+            FaultEvent(_random_time(rng, plan), Fault.COUNTER_FAULTS, duration=rng.uniform(1.0, 4.0))
+        )
+    if rng.random() < FLOOD_SHARE:
         target = rng.randrange(plan.gateways)
-        events.append(Event(_moment(rng, plan), Trouble.CROWD, target, rng.uniform(1.0, 4.0)))
+        events.append(
+            FaultEvent(_random_time(rng, plan), Fault.CONNECTION_FLOOD, target, rng.uniform(1.0, 4.0))
+        )
     return events
--- a/testbed/soak/record.py
+++ b/testbed/soak/record.py
@@ -162,7 +162,7 @@
     until: float
 
 
-Kind = TypeVar("Kind", bound=Entry)
+EntryType = TypeVar("EntryType", bound=Entry)
 AnyEntry = (
     RequestSent
     | Answered
@@ -201,9 +201,9 @@
     conditions: Conditions
     entries: list[AnyEntry] = msgspec.field(default_factory=list)
 
-    def of(self, kind: type[Kind]) -> list[Kind]:
-        """All entries of a kind, in the order of their time."""
-        return sorted((e for e in self.entries if isinstance(e, kind)), key=lambda entry: entry.at)
+    def of(self, entry_type: type[EntryType]) -> list[EntryType]:
+        """All entries of a entry_type, in the order of their time."""
+        return sorted((e for e in self.entries if isinstance(e, entry_type)), key=lambda entry: entry.at)
 
     def write(self, path: Path) -> None:
         """Writes the conditions, then an entry a line."""
--- a/testbed/standins/counter.py
+++ b/testbed/standins/counter.py
@@ -12,28 +12,33 @@
 
 from testbed.standins.http import Message, http_response, read_message
 
-CALL = re.compile(rb"POST /tally/(\d+)\?n=(-?[\d.]+)&keep_ms=(\d+) HTTP/1\.1")
-MOST_LIFE = 60.0  # s
+CALL_PATTERN = re.compile(rb"POST /tally/(\d+)\?n=(-?[\d.]+)&keep_ms=(\d+) HTTP/1\.1")
+MAX_LIFETIME_S = 60.0  # s
 
 
-class Fate(Enum):
+class CallOutcome(Enum):
     """What becomes of a call."""
 
     ADDED = "added and answered"
-    LATE = "added, answered too late"
+    ADDED_LATE = "added, answered too late"
     LOST = "never added, the connection ends"
-    REFUSED = "turned away by a 503"
-    SPOILT = "added, answered with no number"
-    CUT = "added, the connection ends"
+    REJECTED = "turned away by a 503"
+    ADDED_MALFORMED = "added, answered with no number"
+    ADDED_AND_RESET = "added, the connection ends"
 
     @property
-    def is_added(self) -> bool:
-        return self in (Fate.ADDED, Fate.LATE, Fate.SPOILT, Fate.CUT)
+    def was_added(self) -> bool:
+        return self in (
+            CallOutcome.ADDED,
+            CallOutcome.ADDED_LATE,
+            CallOutcome.ADDED_MALFORMED,
+            CallOutcome.ADDED_AND_RESET,
+        )
 
     @property
     def is_certain(self) -> bool:
         """Whether the caller learns what became of it."""
-        return self in (Fate.ADDED, Fate.REFUSED)
+        return self in (CallOutcome.ADDED, CallOutcome.REJECTED)
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,17 +48,17 @@
     caller: int
     name: int
     amount: float
-    fate: Fate
+    outcome: CallOutcome
     at: float
-    waited: float  # s from when it came to its answer
+    reply_delay: float  # s from when it came to its answer
 
 
 @dataclass(frozen=True, slots=True)
-class Waiting:
+class QueuedCall:
     """A call that has been read and waits for its turn, and when it came (s, monotonic)."""
 
     message: Message
-    came_at: float
+    arrived_at: float
 
 
 class Counter:
@@ -61,15 +66,15 @@
 
     def __init__(
         self,
-        fate: Callable[[], Fate],
+        outcome: Callable[[], CallOutcome],
         delay: Callable[[], float],
         late_by: float,
         on_call: Callable[[Call], None],
     ) -> None:
         """`delay`: s until a call is answered; `late_by`: s more for a late one."""
-        self.fate, self.delay, self.late_by, self.on_call = fate, delay, late_by, on_call
+        self.draw_outcome, self.delay, self.late_by, self.on_call = outcome, delay, late_by, on_call
         self.totals: dict[int, float] = {}
-        self.expires: dict[int, float] = {}
+        self.expires_at: dict[int, float] = {}
         self.servers: list[asyncio.Server] = []
         self.writers: set[asyncio.StreamWriter] = set()
 
@@ -89,56 +94,60 @@
         for writer in list(self.writers):
             writer.transport.abort()
 
-    def add(self, name: int, amount: float, life: float) -> float:
-        """Adds to a name, which is forgotten `life` after its first call, and returns its total."""
+    def add(self, name: int, amount: float, lifetime: float) -> float:
+        """Adds to a name, which is forgotten `lifetime` after its first call, and returns its total."""
         now = time.monotonic()
-        if now >= self.expires.get(name, 0.0):
-            self.totals[name], self.expires[name] = 0.0, now + min(life, MOST_LIFE)
+        if now >= self.expires_at.get(name, 0.0):
+            self.totals[name], self.expires_at[name] = 0.0, now + min(lifetime, MAX_LIFETIME_S)
         self.totals[name] += amount
         return self.totals[name]
 
     async def _serve(self, caller: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Reads calls as they come and answers them in order; what a broken connection leaves is lost."""
         self.writers.add(writer)
-        waiting: asyncio.Queue[Waiting | None] = asyncio.Queue()
-        answering = asyncio.ensure_future(self._answer_all(caller, waiting, writer))
+        queue: asyncio.Queue[QueuedCall | None] = asyncio.Queue()
+        responding = asyncio.ensure_future(self._respond_all(caller, queue, writer))
         try:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
                 while True:
-                    waiting.put_nowait(Waiting(await read_message(reader), time.monotonic()))
-            waiting.put_nowait(None)
+                    queue.put_nowait(QueuedCall(await read_message(reader), time.monotonic()))
+            queue.put_nowait(None)
             with contextlib.suppress(asyncio.CancelledError):
-                await answering
+                await responding
         finally:
-            answering.cancel()
+            responding.cancel()
             self.writers.discard(writer)
             writer.close()
 
-    async def _answer_all(
-        self, caller: int, waiting: asyncio.Queue[Waiting | None], writer: asyncio.StreamWriter
+    async def _respond_all(
+        self, caller: int, queue: asyncio.Queue[QueuedCall | None], writer: asyncio.StreamWriter
     ) -> None:
         is_broken = False
-        while call := await waiting.get():
-            fate = Fate.LOST if is_broken else self.fate()
-            is_broken = not await self._answer(caller, call, fate, writer) or is_broken
+        while call := await queue.get():
+            outcome = CallOutcome.LOST if is_broken else self.draw_outcome()
+            is_broken = not await self._respond(caller, call, outcome, writer) or is_broken
 
-    async def _answer(self, caller: int, call: Waiting, fate: Fate, writer: asyncio.StreamWriter) -> bool:
+    async def _respond(
+        self, caller: int, call: QueuedCall, outcome: CallOutcome, writer: asyncio.StreamWriter
+    ) -> bool:
         """Answers one call; tells whether the connection goes on."""
-        match = CALL.fullmatch(call.message.start_line)
+        match = CALL_PATTERN.fullmatch(call.message.start_line)
         if not match:
             writer.write(http_response(400, b""))
             return True
-        name, amount, life = int(match[1]), float(match[2]), int(match[3]) / 1000
-        await asyncio.sleep(max(0.0, call.came_at + self.delay() - time.monotonic()))
+        name, amount, lifetime = int(match[1]), float(match[2]), int(match[3]) / 1000
+        await asyncio.sleep(max(0.0, call.arrived_at + self.delay() - time.monotonic()))
         now = time.monotonic()
-        self.on_call(Call(caller, name, amount, fate, now, now - call.came_at))
-        total = self.add(name, amount, life) if fate.is_added else 0.0
-        if fate is Fate.LATE:
+        self.on_call(Call(caller, name, amount, outcome, now, now - call.arrived_at))
+        total = self.add(name, amount, lifetime) if outcome.was_added else 0.0
+        if outcome is CallOutcome.ADDED_LATE:
             await asyncio.sleep(self.late_by)
-        if fate in (Fate.LOST, Fate.CUT):
+        if outcome in (CallOutcome.LOST, CallOutcome.ADDED_AND_RESET):
             writer.transport.abort()
             return False
         if not writer.is_closing():
-            body = b"<html>" if fate is Fate.SPOILT else f"{total:.6f}".encode()
-            writer.write(http_response(503, b"") if fate is Fate.REFUSED else http_response(200, body))
+            body = b"<html>" if outcome is CallOutcome.ADDED_MALFORMED else f"{total:.6f}".encode()
+            writer.write(
+                http_response(503, b"") if outcome is CallOutcome.REJECTED else http_response(200, body)
+            )
         return True
--- a/testbed/standins/discovery.py
+++ b/testbed/standins/discovery.py
@@ -13,22 +13,22 @@
 from testbed.standins.http import chunk, http_response, read_message
 from testbed.standins.lists import WATCH_RESPONSE_HEAD, host_entry, list_message
 
-HEARTBEAT = 2.0  # s between empty lines
-WATCH = re.compile(rb"GET /discovery/hosts\?stream=1(?:&index=(\d+))? HTTP/1\.1")
-DOWN_RETRY = 0.02  # s between looks at whether discovery is back
+HEARTBEAT_INTERVAL_S = 2.0  # s between empty lines
+WATCH_PATTERN = re.compile(rb"GET /discovery/hosts\?stream=1(?:&index=(\d+))? HTTP/1\.1")
+DOWN_POLL_INTERVAL_S = 0.02  # s between looks at whether discovery is back
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
+class ListedHost:
     """A host as discovery has it."""
 
     name: str
     port: int
     status: str
-    started: float  # Unix time of its last start, nought for long ago
+    started_at: float  # Unix time of its last start, nought for long ago
 
     def as_entry(self) -> dict[str, Any]:
-        return host_entry(self.name, self.port, status=self.status, since_ms=round(self.started * 1000))
+        return host_entry(self.name, self.port, status=self.status, since_ms=round(self.started_at * 1000))
 
 
 @dataclass(eq=False)
@@ -43,32 +43,32 @@
 
 
 class Registry:
-    """The list and its history; `on_told(gateway, listed)` hears of each state that a watch is sent."""
+    """The list and its history; `on_status_sent` hears of each state that a watch is sent."""
 
-    def __init__(self, whole_lists: bool, on_told: Callable[[int, str, str], None]) -> None:
-        self.whole_lists, self.on_told = whole_lists, on_told
+    def __init__(self, full_lists: bool, on_status_sent: Callable[[int, str, str], None]) -> None:
+        self.full_lists, self.on_status_sent = full_lists, on_status_sent
         self.index = 0
-        self.hosts: dict[str, Listed] = {}
-        self.history: list[tuple[int, Listed]] = []
+        self.hosts: dict[str, ListedHost] = {}
+        self.history: list[tuple[int, ListedHost]] = []
         self.agents: list[Agent] = []
         self.down_until = 0.0  # s, monotonic
 
-    def change(self, listed: Listed) -> float:
+    def change(self, listed: ListedHost) -> float:
         """Takes a change; returns when the agents have it (s, monotonic)."""
         self.index += 1
         self.hosts[listed.name] = listed
         if listed.status == "left":
             del self.hosts[listed.name]
         self.history.append((self.index, listed))
-        self.wake()
+        self.wake_watches()
         return max(time.monotonic(), self.down_until)
 
-    def wake(self) -> None:
+    def wake_watches(self) -> None:
         for agent in self.agents:
             for watch in agent.watches:
                 watch.changed.set()
 
-    def fall_silent(self) -> None:
+    def silence_watches(self) -> None:
         """The watches that are open now say nothing any more, and stay open."""
         for agent in self.agents:
             for watch in agent.watches:
@@ -77,22 +77,22 @@
     def go_down(self, seconds: float) -> None:
         """The agents learn nothing and say nothing for a while."""
         self.down_until = max(self.down_until, time.monotonic() + seconds)
-        asyncio.get_running_loop().call_later(seconds + DOWN_RETRY, self.wake)
+        asyncio.get_running_loop().call_later(seconds + DOWN_POLL_INTERVAL_S, self.wake_watches)
 
     @property
     def is_down(self) -> bool:
         return time.monotonic() < self.down_until
 
-    def message(self, after: int | None) -> tuple[bytes, list[Listed]]:
+    def build_message(self, after: int | None) -> tuple[bytes, list[ListedHost]]:
         """What a watch from this version on is sent, and the states that it tells."""
-        if after is not None and not self.whole_lists:
+        if after is not None and not self.full_lists:
             changes = {listed.name: listed for index, listed in self.history if index > after}
             listed = list(changes.values())
             return list_message(self.index, *[each.as_entry() for each in listed]), listed
-        listed = [h for h in self.hosts.values() if h.status == "active" or not self.whole_lists]
+        listed = [h for h in self.hosts.values() if h.status == "active" or not self.full_lists]
         return list_message(self.index, *[each.as_entry() for each in listed], snapshot=True), listed
 
-    def known(self) -> dict[str, Any]:
+    def full_list(self) -> dict[str, Any]:
         """The whole list as a configuration holds it."""
         entries = [host.as_entry() for host in self.hosts.values()]
         return {"index": self.index, "snapshot": True, "endpoints": entries}
@@ -119,46 +119,48 @@
         try:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
                 message = await read_message(reader)
-                match = WATCH.fullmatch(message.start_line)
+                match = WATCH_PATTERN.fullmatch(message.start_line)
                 if match is None:
                     writer.write(http_response(404, b""))
                     return
                 while self.registry.is_down:
-                    await asyncio.sleep(DOWN_RETRY)
+                    await asyncio.sleep(DOWN_POLL_INTERVAL_S)
                 after = None if match[1] is None else int(match[1])
-                await self._follow(Watch(self, writer, -1 if after is None else after), reader, after)
+                await self._serve_watch(Watch(self, writer, -1 if after is None else after), reader, after)
         finally:
             writer.close()
 
-    async def _follow(self, watch: Watch, reader: asyncio.StreamReader, after: int | None) -> None:
+    async def _serve_watch(self, watch: Watch, reader: asyncio.StreamReader, after: int | None) -> None:
         self.watches.add(watch)
-        gone = asyncio.ensure_future(reader.read())
+        disconnected = asyncio.ensure_future(reader.read())
         try:
             watch.writer.write(WATCH_RESPONSE_HEAD)
             if after is None or after != self.registry.index:
-                self._tell(watch, after)
-            while not gone.done():
+                self._send_update(watch, after)
+            while not disconnected.done():
                 changed = asyncio.ensure_future(watch.changed.wait())
-                await asyncio.wait([gone, changed], timeout=HEARTBEAT, return_when=asyncio.FIRST_COMPLETED)
+                await asyncio.wait(
+                    [disconnected, changed], timeout=HEARTBEAT_INTERVAL_S, return_when=asyncio.FIRST_COMPLETED
+                )
                 changed.cancel()
                 watch.changed.clear()
-                if watch.silent or self.registry.is_down or gone.done():
+                if watch.silent or self.registry.is_down or disconnected.done():
                     continue
                 if watch.index != self.registry.index:
-                    self._tell(watch, watch.index)
+                    self._send_update(watch, watch.index)
                 else:
                     watch.writer.write(chunk(b"\n"))
         finally:
-            gone.cancel()
+            disconnected.cancel()
             self.watches.discard(watch)
 
-    def _tell(self, watch: Watch, after: int | None) -> None:
+    def _send_update(self, watch: Watch, after: int | None) -> None:
         before = {listed.name for _, listed in self.registry.history}
-        message, listed = self.registry.message(after)
+        message, listed = self.registry.build_message(after)
         watch.writer.write(chunk(message))
         watch.index = self.registry.index
-        told = {each.name: each.status for each in listed}
-        if after is None or self.registry.whole_lists:  # what a whole list does not name is gone
-            told = {name: told.get(name, "left") for name in before}
-        for name, status in told.items():
-            self.registry.on_told(self.gateway, name, status)
+        statuses = {each.name: each.status for each in listed}
+        if after is None or self.registry.full_lists:  # what a whole list does not name is disconnected
+            statuses = {name: statuses.get(name, "left") for name in before}
+        for name, status in statuses.items():
+            self.registry.on_status_sent(self.gateway, name, status)
--- a/testbed/standins/hosts.py
+++ b/testbed/standins/hosts.py
@@ -1,4 +1,4 @@
-"""Hosts on loopback that serve, hang, reset, turn away or vanish, and tell what reached them."""
+"""Hosts on loopback that serve, hang, reset, turn away or stop, and tell what reached them."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from testbed.standins.http import Message, http_response, parse_head
 from testbed.standins.ports import free_port
 
-LEAST_SERVICE, MOST_SERVICE = 0.005, 0.04  # s that a request takes
+MIN_SERVICE_TIME_S, MAX_SERVICE_TIME_S = 0.005, 0.04  # s that a request takes
 
 
-class Mode(Enum):
+class HostMode(Enum):
     """What a host does with a request that it has read whole."""
 
     SERVES = "serves"
     HANGS = "hangs"
     RESETS = "resets"
-    TURNS_AWAY = "turns away"
+    REJECTS = "turns away"
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,11 +29,11 @@
     """A request that a host has read whole, with the times of its first and last byte (s, monotonic)."""
 
     message: Message
-    first_byte: float
-    at: float
+    first_byte_at: float
+    last_byte_at: float
 
     @property
-    def request(self) -> str:
+    def request_id(self) -> str:
         return self.message.headers.get(b"x-request-id", b"").decode()
 
 
@@ -48,8 +48,8 @@
         on_end: Callable[[Host, Arrival, bool], None],
     ) -> None:
         self.name, self.service_time, self.on_arrival, self.on_end = name, service_time, on_arrival, on_end
-        self.mode = Mode.SERVES
-        self.started = 0.0  # Unix time of its last start, nought for long ago
+        self.mode = HostMode.SERVES
+        self.started_at = 0.0  # Unix time of its last start, nought for long ago
         self.port = free_port()
         self.server: asyncio.Server | None = None
         self.writers: set[asyncio.StreamWriter] = set()
@@ -60,7 +60,7 @@
             return
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
 
-    def vanish(self) -> None:
+    def stop(self) -> None:
         """Closes the listener and resets all connections."""
         if self.server:
             self.server.close()
@@ -81,26 +81,26 @@
     async def _serve_one(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
         """Reads and answers one request; tells whether the connection goes on."""
         first = await reader.readexactly(1)
-        first_byte = time.monotonic()
+        first_byte_at = time.monotonic()
         message = parse_head(first + await reader.readuntil(b"\r\n\r\n"))
         message.body = await reader.readexactly(int(message.headers.get(b"content-length", b"0")))
-        arrival = Arrival(message, first_byte, time.monotonic())
+        arrival = Arrival(message, first_byte_at, time.monotonic())
         self.on_arrival(self, arrival)
         mode = self.mode
-        never_ran = mode is Mode.TURNS_AWAY
+        never_ran = mode is HostMode.REJECTS
         try:
-            if mode is Mode.HANGS:
+            if mode is HostMode.HANGS:
                 await reader.read()  # until the gateway gives up
                 return False
-            if mode is Mode.RESETS:
+            if mode is HostMode.RESETS:
                 await asyncio.sleep(self.service_time() / 2)
                 writer.transport.abort()
                 return False
-            if mode is Mode.TURNS_AWAY:
+            if mode is HostMode.REJECTS:
                 writer.write(http_response(503, b"", X_Not_Processed="1"))
                 return True
             await asyncio.sleep(self.service_time())
-            writer.write(http_response(200, arrival.request.encode()))
+            writer.write(http_response(200, arrival.request_id.encode()))
             return True
         finally:
             self.on_end(self, arrival, never_ran)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -15,8 +15,8 @@
 
 from testbed.soak.__main__ import build
 from testbed.soak.gateways import ROOT
-from testbed.soak.plan import LONGEST_STALL, Trouble, draw
-from testbed.soak.series import play_seed
+from testbed.soak.plan import MAX_STALL_S, Fault, draw_plan
+from testbed.soak.series import run_seed
 
 SEEDS = (3, 4, 8, 11, 20, 27)
 SECONDS = 5.0
@@ -29,18 +29,18 @@
 
 
 def test_a_seed_draws_the_same_run_again_and_all_troubles_come() -> None:
-    plans = [draw(seed, 8.0) for seed in range(60)]
-    assert plans == [draw(seed, 8.0) for seed in range(60)]
+    plans = [draw_plan(seed, 8.0) for seed in range(60)]
+    assert plans == [draw_plan(seed, 8.0) for seed in range(60)]
     events = [event for plan in plans for event in plan.events]
-    assert {event.trouble for event in events} == set(Trouble)
-    assert all(event.seconds <= LONGEST_STALL for event in events if event.trouble is Trouble.STALL)
+    assert {event.fault for event in events} == set(Fault)
+    assert all(event.duration <= MAX_STALL_S for event in events if event.fault is Fault.STALL)
     assert all(
-        event.target != 0 for event in events if event.trouble in (Trouble.RESTART, Trouble.KILL)
+        event.target != 0 for event in events if event.fault in (Fault.RESTART, Fault.KILL)
     )  # its books are checked to the unit
 
 
 def test_a_planned_restart_is_killed_at_the_earliest_moment() -> None:
-    assert {round(plan.kill_after, 3) for plan in (draw(seed, 8.0) for seed in range(60))} == {
+    assert {round(plan.kill_after, 3) for plan in (draw_plan(seed, 8.0) for seed in range(60))} == {
         1.4,
         1.9,
         2.7,
@@ -50,7 +50,7 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_real_gateways_keep_all_rules(tmp_path: Path, seed: int) -> None:
-    result = play_seed(seed, SECONDS, tmp_path / str(seed))
+    result = run_seed(seed, SECONDS, tmp_path / str(seed))
     assert result.failure is None
     assert result.answers > 100 and result.starts >= 3
     assert [str(violation) for violation in result.violations] == []
