--- a/testbed/soak/__init__.py
+++ b/testbed/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A soak: real gateways between stand-ins, under restarts and troubles whose order is drawn from a seed."""
+"""A soak test: real gateways between fake hosts, discovery and counter, with faults drawn from a seed."""
--- a/testbed/soak/__main__.py
+++ b/testbed/soak/__main__.py
@@ -1,4 +1,4 @@
-"""The command `python -m testbed.soak`: plays runs by their seeds and tells of each violation."""
+"""The command `python -m testbed.soak`: plays runs by their seeds and prints their violations."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from testbed.soak.gateways import ROOT, deploy_command
 from testbed.soak.series import RunResult, run_all
 
-MAX_JOBS = 8  # runs at a time: each is four processes
-BUILD_TIMEOUT_S = 300.0  # s
-MAX_PRINTED_VIOLATIONS = 10  # violations of a run that are printed
+MAX_JOBS = 8  # runs in parallel; each has four processes
+BUILD_TIMEOUT_S = 300.0
+MAX_PRINTED_VIOLATIONS = 10  # of each run
 EXIT_FAILED, EXIT_WRONG_OPTION, EXIT_INTERRUPTED = 1, 2, 128 + signal.SIGINT  # exit codes
 
 
@@ -23,7 +23,7 @@
 
 
 def build() -> None:
-    """Runs the deploy file's `build`; raises BuildError."""
+    """Runs the `build` command of the deploy file; raises BuildError if it fails."""
     command = ["sh", "-c", deploy_command("build")]
     try:
         subprocess.run(command, cwd=ROOT, check=True, timeout=BUILD_TIMEOUT_S, capture_output=True)
@@ -32,36 +32,50 @@
 
 
 def print_result(result: RunResult, seconds: float, records: Path) -> None:
-    """Prints a run: its figures, or its violations and the command that plays it again."""
-    figures = f"{result.requests} requests, {result.answers} answers, {result.starts} starts"
+    """Prints a run's figures and, if it failed, its violations and the command that repeats it."""
+    figures = f"{result.requests} requests, {result.answers} responses, {result.starts} gateway starts"
     click.echo(f"seed {result.seed}: {figures}, {result.seconds:.1f} s, {len(result.violations)} violations")
     for violation in result.violations[:MAX_PRINTED_VIOLATIONS]:
         click.echo(f"    {violation}")
     if result.failure:
-        click.echo(f"    not played: {result.failure}")
+        click.echo(f"    run failed: {result.failure}")
     if not result.passed:
-        click.echo(f"    again: python -m testbed.soak --seeds 1 --first {result.seed} --seconds {seconds:g}")
-        click.echo(f"    record and logs: {records / str(result.seed)}")
+        click.echo(
+            f"    repeat with: python -m testbed.soak --seeds 1 --first {result.seed} --seconds {seconds:g}"
+        )
+        click.echo(f"    record and logs in: {records / str(result.seed)}")
 
 
 @click.command()
-@click.option("--seeds", type=click.IntRange(1), default=1, show_default=True, help="Runs to play.")
-@click.option("--first", type=click.IntRange(0), default=1, show_default=True, help="Seed of the first.")
+@click.option("--seeds", type=click.IntRange(1), default=1, show_default=True, help="Number of runs.")
 @click.option(
-    "--seconds", type=click.FloatRange(2.0, 600.0), default=8.0, show_default=True, help="Clients send."
+    "--first",
+    type=click.IntRange(0),
+    default=1,
+    show_default=True,
+    help="Seed of the first run; each further run has the next one.",
+)
+@click.option(
+    "--seconds",
+    type=click.FloatRange(2.0, 600.0),
+    default=8.0,
+    show_default=True,
+    help="Time for which clients send in each run.",
+)
+@click.option(
+    "--jobs", type=click.IntRange(1, MAX_JOBS), default=2, show_default=True, help="Runs in parallel."
 )
-@click.option("--jobs", type=click.IntRange(1, MAX_JOBS), default=2, show_default=True, help="At a time.")
 @click.option(
     "--records",
     type=click.Path(path_type=Path, file_okay=False),
     default=Path("soak-records"),
     show_default=True,
-    help="Folder of the records and logs.",
+    help="Directory for the records and logs.",
 )
 def soak(seeds: int, first: int, seconds: float, jobs: int, records: Path) -> int:
-    """Plays real gateways under restarts and troubles drawn from seeds, and checks what both ends saw.
+    """Soak test: runs real gateways under faults drawn from seeds; checks what their clients and hosts saw.
 
-    Exit codes: 0 no violation, 1 some or a run that was not played, 2 a wrong option, 130 interrupted.
+    Exit codes: 0 no violations, 1 violations or a run that failed, 2 wrong option, 130 interrupted.
     """
     build()
     results: list[RunResult] = []
@@ -70,18 +84,18 @@
             results.append(result)
             print_result(result, seconds, records)
     except KeyboardInterrupt:
-        click.echo(f"interrupted after {len(results)} of {seeds} runs; records: {records}")
+        click.echo(f"interrupted after {len(results)} of {seeds} runs; records in {records}")
         return EXIT_INTERRUPTED
     failed = sorted(result.seed for result in results if not result.passed)
     requests, starts = sum(r.requests for r in results), sum(r.starts for r in results)
     click.echo(
-        f"{len(results)} runs, {requests} requests, {starts} starts, {len(failed)} failed {failed or ''}"
+        f"{len(results)} runs, {requests} requests, {starts} gateway starts, {len(failed)} failed {failed or ''}"
     )
     return EXIT_FAILED if failed else 0
 
 
 def main() -> int:
-    """The command; a wrong option gets one line."""
+    """Runs the command and returns its exit code; errors are printed as one line."""
     try:
         return int(soak.main(prog_name="python -m testbed.soak", standalone_mode=False) or 0)
     except click.ClickException as error:
--- a/testbed/soak/plan.py
+++ b/testbed/soak/plan.py
@@ -1,4 +1,4 @@
-"""What happens in a run: drawn whole from its seed, before anything is started."""
+"""The plan of a run: all of its faults, drawn from its seed before anything is started."""
 
 from __future__ import annotations
 
@@ -6,67 +6,66 @@
 from dataclasses import dataclass
 from enum import Enum
 
-CLIENT_TIMEOUTS_S = (0.7, 1.2, 2.0, 3.0)  # s, the longest deadline of a run
-MAX_KILL_TIMEOUT_S = 3.0  # s as which a longer deadline counts for the kill of a planned restart
-KILL_MARGIN_S = 0.7  # s after the longest deadline, from SIGTERM on, at which that kill comes at the earliest
-FAULT_FREE_START_S = 1.0  # s of a run ahead of its first fault
-MAX_STALL_S = 0.15  # s
-FLOOD_SHARE = 0.3  # of the runs have a crowd
+CLIENT_TIMEOUTS_S = (0.7, 1.2, 2.0, 3.0)  # the longest that a client of a run waits
+MAX_KILL_TIMEOUT_S = 3.0  # longer client timeouts do not delay the kill of a planned restart further
+KILL_MARGIN_S = 0.7  # from that timeout, counted from SIGTERM, to the earliest time of the kill
+FAULT_FREE_START_S = 1.0  # at the start of a run
+MAX_STALL_S = 0.15
+FLOOD_SHARE = 0.3  # of the runs that have a connection flood
 
 
 class Fault(Enum):
-    """Kinds of things that happen to gateways, hosts, discovery and the counter."""
+    """Kinds of faults and other disturbances of gateways, hosts, discovery and the counter."""
 
     RESTART = "planned restart"
-    KILL = "kill without a word"
-    RELOAD = "new configuration"
-    STALL = "stall"
-    CONNECTION_FLOOD = "crowd of idle clients"
+    KILL = "gateway killed"
+    RELOAD = "configuration reloaded"
+    STALL = "gateway stalled"
+    CONNECTION_FLOOD = "idle clients use up the gateway's descriptors"
     HOST_DRAINS = "host drains"
     HOST_HANGS = "host hangs"
     HOST_RESETS = "host resets connections"
-    HOST_REJECTS = "host turns requests away"
-    HOST_RESTARTS = "host vanishes and comes back cold"
-    WATCHES_SILENT = "watches fall silent"
+    HOST_REJECTS = "host rejects requests"
+    HOST_RESTARTS = "host stops and restarts cold"
+    WATCHES_SILENT = "open watches fall silent"
     DISCOVERY_DOWN = "discovery is down"
-    COUNTER_FAULTS = "calls to the counter go wrong"
+    COUNTER_FAULTS = "calls to the counter fail"
 
 
 @dataclass(frozen=True, slots=True)
 class FaultEvent:
-    """Something that happens at a time (s from the begin) for a while (s), to one gateway or host."""
+    """One fault of a run."""
 
-    at: float
+    at: float  # s after the start of the run
     fault: Fault
-    target: int = 0
-    duration: float = 0.0
+    target: int = 0  # index of the gateway or host
+    duration: float = 0.0  # s
 
 
 @dataclass(frozen=True, slots=True)
 class RunPlan:
-    """One run."""
+    """What is drawn for one run."""
 
     seed: int
-    seconds: float
-    client_timeout: float
+    seconds: float  # for which clients send
+    client_timeout: float  # s, the longest of all clients
     gateways: int
     hosts: int
     requests_per_second: float
-    full_lists: bool
-    drain_grace: float
-    uncertain_counter_calls: (
-        bool  # calls to a counter in fault may be late, lost or spoilt, and not only refused
-    )
+    full_lists: bool  # each message of discovery holds the full host list, not only changes
+    drain_grace: float  # s
+    # Whether failing calls to the counter may leave open if the amount was added; if not, they are rejected.
+    uncertain_counter_calls: bool
     events: tuple[FaultEvent, ...]
 
     @property
     def kill_after(self) -> float:
-        """Seconds from SIGTERM to the kill, the earliest that the protocol allows."""
+        """Seconds from SIGTERM to the kill of a planned restart: the shortest that the protocol allows."""
         return min(MAX_KILL_TIMEOUT_S, self.client_timeout) + KILL_MARGIN_S
 
 
 def draw_plan(seed: int, seconds: float) -> RunPlan:
-    """The run of a seed; `seconds` is how long its clients send."""
+    """Draws the plan of a run from its seed; clients send for `seconds`."""
     rng = random.Random(seed)
     gateways, hosts = 3, rng.randint(5, 8)
     client_timeout = rng.choice(CLIENT_TIMEOUTS_S)
@@ -94,7 +93,7 @@
 
 
 def _gateway_faults(rng: random.Random, plan: RunPlan) -> list[FaultEvent]:
-    """Restarts of all gateways but the first, in series, with reloads and stalls close to them."""
+    """Restarts each gateway but the first again and again, with reloads and stalls around the restarts."""
     events = []
     for gateway in range(1, plan.gateways):
         at = rng.uniform(FAULT_FREE_START_S, max(FAULT_FREE_START_S, plan.seconds / 3))
@@ -116,7 +115,7 @@
 
 
 def _host_faults(rng: random.Random, plan: RunPlan) -> list[FaultEvent]:
-    """Troubles of some hosts; two at least have none, so that something is served."""
+    """Faults of some hosts; at least two have none, so that requests can be served."""
     kinds = (
         Fault.HOST_DRAINS, Fault.HOST_HANGS, Fault.HOST_RESETS, Fault.HOST_REJECTS,
         Fault.HOST_RESTARTS,
--- a/testbed/soak/record.py
+++ b/testbed/soak/record.py
@@ -1,7 +1,7 @@
-"""What both ends of the gateways saw in a run: typed entries, written as JSON lines.
+"""The record of a run: what clients, hosts, discovery and counter saw, as typed entries in JSON lines.
 
-All times are seconds on the harness's monotonic clock. Gateways are named by their index, a start of one by
-its number from 0 on.
+All times are in seconds on the monotonic clock of the test. `gateway` is the index of a gateway; `start`
+numbers the starts of its process from 0.
 """
 
 from __future__ import annotations
@@ -15,81 +15,81 @@
 
 
 class Entry(msgspec.Struct, frozen=True, tag=True):
-    """One thing that was seen, and when."""
+    """Something that was observed, and when."""
 
     at: float
 
 
 class RequestSent(Entry, frozen=True):
-    """The last byte of a request was written to a connection that the gateway's machine had accepted."""
+    """A client wrote the last byte of a request to an established connection."""
 
-    request: str
+    request: str  # id, here and in all entries below
     gateway: int
     start: int
-    repeat: Repeat
-    patience: float  # s that the client waits
+    repeat: Repeat  # its request class: whether it may run more than once
+    patience: float  # s after which the client stops waiting
     customer: int
-    units: float
-    kept: bool  # on a connection that had served a request before
-    resent: bool  # once more, after a kept connection ended unanswered
+    units: float  # quota units
+    kept: bool  # on a connection that had carried a request before
+    resent: bool  # the second time, as a kept connection had ended without a response
 
 
 class Answered(Entry, frozen=True):
-    """A whole answer came; the client has read its last byte."""
+    """The client read the last byte of a complete response."""
 
     request: str
     status: int
-    is_own: bool  # a 200 holds the body that a host made for this request
+    is_own: bool  # the body is the one that hosts return for this request
 
 
 class ExtraAnswer(Entry, frozen=True):
-    """Bytes came that no request had asked for."""
+    """More bytes came after the response."""
 
     request: str
 
 
 class ClientLeft(Entry, frozen=True):
-    """The client closed its connection while it waited."""
+    """The client closed its connection while it waited for the response."""
 
     request: str
 
 
 class ConnectionEnded(Entry, frozen=True):
-    """The gateway ended the connection of a request without a whole answer."""
+    """The gateway closed the connection of a request without a complete response."""
 
     request: str
-    is_partial: bool  # some bytes of an answer had come
+    is_partial: bool  # part of a response had come
 
 
 class AttemptArrived(Entry, frozen=True):
-    """A host read the last byte of a request."""
+    """A host read the last byte of an attempt."""
 
     request: str
     host: str
-    host_started: float  # the host's start that the attempt met
-    first_byte: float
-    patience: float  # s that the attempt told
+    host_started: float  # Unix time of the host's last start; 0: long ago
+    first_byte: float  # when its first byte was read
+    patience: float  # s, from its X-Timeout header
 
 
 class AttemptEnded(Entry, frozen=True):
-    """A host has answered an attempt or its connection has ended."""
+    """A host answered an attempt, or the connection of the attempt ended."""
 
     request: str
     host: str
-    never_ran: bool  # the host said so
+    never_ran: bool  # the host rejected it without processing it
 
 
 class HostChanged(Entry, frozen=True):
-    """The list of hosts changed; gateways may be told from `known_at` on, when their agents had it."""
+    """The host list changed; agents know the change from `known_at` on."""
 
     host: str
     status: Literal["active", "leaving", "left"]
-    started: float
+    started: float  # Unix time of the host's last start; 0: long ago
     known_at: float
 
 
 class HostTold(Entry, frozen=True):
-    """A watch of a gateway was sent a host's state."""
+    """A watch sent a gateway the status of a host."""
 
     gateway: int
     host: str
@@ -97,13 +97,13 @@
 
 
 class CounterCalled(Entry, frozen=True):
-    """A gateway's call reached the counter."""
+    """The counter handled a call of a gateway."""
 
     gateway: int
-    name: int
-    amount: float
+    name: int  # of the entry on the counter
+    amount: float  # quota units
     added: bool
-    certain: bool  # the gateway was told whether it was added
+    certain: bool  # the gateway knows whether the amount was added
 
 
 class ProcessStarted(Entry, frozen=True):
@@ -122,7 +122,7 @@
     gateway: int
     start: int
     signal: Literal["SIGTERM", "SIGHUP", "SIGKILL"]
-    planned: bool  # a SIGKILL that ends a planned restart
+    planned: bool  # a SIGKILL as part of a planned restart
 
 
 class ProcessExited(Entry, frozen=True):
@@ -132,31 +132,31 @@
 
 
 class ProcessRested(Entry, frozen=True):
-    """After the load: what a process holds when its clients have gone."""
+    """Resources that a process still uses after all clients have gone."""
 
     gateway: int
     start: int
     descriptors: int
     memory: int  # bytes
-    host_connections: int  # open at all hosts together
+    host_connections: int  # open connections at all hosts together
 
 
 class ErrorLogged(Entry, frozen=True):
-    """A line of a gateway's log that tells of a failure of its own."""
+    """A line of a gateway's log that shows an internal error."""
 
     gateway: int
     text: str
 
 
 class Delayed(Entry, frozen=True):
-    """A stall that was injected into a gateway, or a lag of the harness itself, from `at` to `until`."""
+    """A gateway was stopped on purpose, or the event loop of the test was late, from `at` to `until`."""
 
-    gateway: int  # -1: the harness, and so anybody on this machine
+    gateway: int  # -1: the event loop of the test; other processes may have been late as well
     until: float
 
 
 class Crowded(Entry, frozen=True):
-    """Idle clients filled a gateway's descriptors from `at` to `until`."""
+    """Idle clients used up a gateway's descriptors from `at` to `until`."""
 
     gateway: int
     until: float
@@ -186,17 +186,17 @@
 
 
 class Conditions(msgspec.Struct, frozen=True):
-    """Figures of a run that the rules need."""
+    """Parameters of a run that the checker needs."""
 
     seed: int
-    drain_grace: float  # s after a drain was told in which sending has to end
-    key_window: float  # s in which a keyed request may be repeated
-    longest_patience: float  # s
-    books_customers: tuple[int, ...]  # all of whose requests go to gateway 0, which is never restarted
+    drain_grace: float  # s after the gateway knows of a drain within which it must stop sending to the host
+    key_window: float  # s within which a keyed request may be sent again
+    longest_patience: float  # s, the longest timeout of a client
+    books_customers: tuple[int, ...]  # send only to gateway 0, which is never restarted
 
 
 class Record(msgspec.Struct):
-    """A run's conditions and entries."""
+    """The parameters and entries of a run."""
 
     conditions: Conditions
     entries: list[AnyEntry] = msgspec.field(default_factory=list)
@@ -206,13 +206,13 @@
         return sorted((e for e in self.entries if isinstance(e, entry_type)), key=lambda entry: entry.at)
 
     def write(self, path: Path) -> None:
-        """Writes the conditions, then an entry a line."""
+        """Writes the conditions in the first line, then one entry a line."""
         encode = msgspec.json.encode
         path.write_bytes(b"".join(encode(item) + b"\n" for item in [self.conditions, *self.entries]))
 
     @classmethod
     def read(cls, path: Path) -> Record:
-        """Reads a record back; raises msgspec.DecodeError where the file is no record."""
+        """Reads a record; raises msgspec.DecodeError if the file is not one."""
         first, *lines = path.read_bytes().splitlines()
         conditions = msgspec.json.decode(first, type=Conditions)
         decoder = msgspec.json.Decoder(AnyEntry)
--- a/testbed/soak/series.py
+++ b/testbed/soak/series.py
@@ -1,4 +1,4 @@
-"""Runs of a soak side by side, each in a process of its own."""
+"""Plays several runs of the soak in parallel, each in its own process."""
 
 from __future__ import annotations
 
@@ -21,20 +21,20 @@
 
 RECORD_FILE = "record.jsonl"
 INTERRUPTED = "interrupted"
-SHUTDOWN_TIMEOUT_S = 20.0  # s that an interrupted run may take to end what it has started
+SHUTDOWN_TIMEOUT_S = 20.0  # for an interrupted run to end the processes that it has started
 
 
 @dataclass(frozen=True, slots=True)
 class RunResult:
-    """What became of one run."""
+    """The result of one run."""
 
     seed: int
     requests: int = 0
     answers: int = 0
-    starts: int = 0
-    seconds: float = 0.0
+    starts: int = 0  # of gateway processes
+    seconds: float = 0.0  # that the run took
     violations: tuple[Violation, ...] = ()
-    failure: str | None = None  # why the run itself could not be played
+    failure: str | None = None  # why the run could not be played to its end
 
     @property
     def passed(self) -> bool:
@@ -42,7 +42,7 @@
 
 
 def run_seed(seed: int, seconds: float, folder: Path) -> RunResult:
-    """Plays one run; its record, what there is of it, and its logs stay in `folder`."""
+    """Plays one run; its record, even if incomplete, and its logs stay in `folder`."""
     shutil.rmtree(folder, ignore_errors=True)
     folder.mkdir(parents=True)
     begin, failure = time.monotonic(), None
@@ -66,7 +66,7 @@
 
 
 async def _run_until_done(run: Run) -> bool:
-    """Plays a run; false where SIGTERM has ended it before."""
+    """Plays a run; returns false if SIGTERM has cut it short."""
     running = asyncio.ensure_future(run.execute())
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, running.cancel)
     try:
@@ -77,20 +77,22 @@
 
 
 def _run_and_send(seed: int, seconds: float, folder: Path, results: Connection) -> None:
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # one at the terminal comes to the parent, who tells
+    signal.signal(
+        signal.SIGINT, signal.SIG_IGN
+    )  # an interrupt reaches all processes; the parent ends the runs
     results.send(run_seed(seed, seconds, folder))
 
 
 @dataclass(frozen=True, slots=True)
 class RunningJob:
-    """A run under way."""
+    """A run in progress."""
 
     seed: int
     process: SpawnProcess
     results: Connection
 
     def receive_result(self) -> RunResult:
-        """Its result, once its process has something to tell or has ended."""
+        """Waits for the result, or for the end of the process."""
         try:
             result: RunResult = self.results.recv()
         except EOFError:
@@ -101,7 +103,7 @@
 
 
 def start_run(seed: int, seconds: float, folder: Path) -> RunningJob:
-    """Starts a run in a process of its own."""
+    """Starts a run in its own process."""
     context = multiprocessing.get_context("spawn")
     receiving, sending = context.Pipe(duplex=False)
     process = context.Process(target=_run_and_send, args=(seed, seconds, folder / str(seed), sending))
@@ -111,7 +113,7 @@
 
 
 def run_all(seeds: range, seconds: float, folder: Path, jobs: int) -> Iterator[RunResult]:
-    """Plays runs, so many at a time, and yields each as it ends; left early, it ends those under way."""
+    """Plays runs, at most `jobs` at a time, and yields each result; closed early, it stops the other runs."""
     waiting, running = list(seeds), list[RunningJob]()
     try:
         while waiting or running:
@@ -126,7 +128,7 @@
 
 
 def stop_runs(running: list[RunningJob]) -> None:
-    """Has runs end what they have started, and waits for that."""
+    """Stops runs with SIGTERM, so that they end what they have started, and waits for them."""
     for each in running:
         if each.process.pid is not None and each.process.is_alive():
             os.kill(each.process.pid, signal.SIGTERM)
--- a/testbed/standins/__init__.py
+++ b/testbed/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins on loopback sockets for what a gateway speaks with: hosts, discovery and the counter."""
+"""Fake hosts, discovery and counter on loopback sockets, for gateways under test."""
--- a/testbed/standins/counter.py
+++ b/testbed/standins/counter.py
@@ -1,4 +1,4 @@
-"""The counter on loopback: exact totals, and calls that go wrong as a test wants."""
+"""A fake counter on loopback: exact totals, and calls that fail as the test decides."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from testbed.standins.http import Message, http_response, read_message
 
 CALL_PATTERN = re.compile(rb"POST /tally/(\d+)\?n=(-?[\d.]+)&keep_ms=(\d+) HTTP/1\.1")
-MAX_LIFETIME_S = 60.0  # s
+MAX_LIFETIME_S = 60.0  # of an entry
 
 
 class CallOutcome(Enum):
-    """What becomes of a call."""
+    """How the counter handles a call."""
 
     ADDED = "added and answered"
     ADDED_LATE = "added, answered too late"
-    LOST = "never added, the connection ends"
-    REJECTED = "turned away by a 503"
-    ADDED_MALFORMED = "added, answered with no number"
-    ADDED_AND_RESET = "added, the connection ends"
+    LOST = "not added, connection reset"
+    REJECTED = "not added, answered with a 503"
+    ADDED_MALFORMED = "added, answered with something that is no total"
+    ADDED_AND_RESET = "added, connection reset"
 
     @property
     def was_added(self) -> bool:
@@ -37,49 +37,49 @@
 
     @property
     def is_certain(self) -> bool:
-        """Whether the caller learns what became of it."""
+        """Whether the caller learns if the amount was added."""
         return self in (CallOutcome.ADDED, CallOutcome.REJECTED)
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """A call that reached the counter, at a time (s, monotonic)."""
+    """A call that the counter has handled."""
 
     caller: int
-    name: int
-    amount: float
+    name: int  # of the entry
+    amount: float  # quota units
     outcome: CallOutcome
-    at: float
-    reply_delay: float  # s from when it came to its answer
+    at: float  # when it was handled (s, monotonic)
+    reply_delay: float  # s since it was read
 
 
 @dataclass(frozen=True, slots=True)
 class QueuedCall:
-    """A call that has been read and waits for its turn, and when it came (s, monotonic)."""
+    """A call that has been read and waits for its turn, and when it was read (s, monotonic)."""
 
     message: Message
     arrived_at: float
 
 
 class Counter:
-    """Totals that all callers share; each caller has a port of its own, so that its calls are known."""
+    """A counter whose entries all callers share; each caller has its own port, which identifies its calls."""
 
     def __init__(
         self,
-        outcome: Callable[[], CallOutcome],
+        draw_outcome: Callable[[], CallOutcome],
         delay: Callable[[], float],
         late_by: float,
         on_call: Callable[[Call], None],
     ) -> None:
-        """`delay`: s until a call is answered; `late_by`: s more for a late one."""
-        self.draw_outcome, self.delay, self.late_by, self.on_call = outcome, delay, late_by, on_call
+        """`delay` returns the seconds until a call is answered; `late_by` is added for a late answer."""
+        self.draw_outcome, self.delay, self.late_by, self.on_call = draw_outcome, delay, late_by, on_call
         self.totals: dict[int, float] = {}
         self.expires_at: dict[int, float] = {}
         self.servers: list[asyncio.Server] = []
         self.writers: set[asyncio.StreamWriter] = set()
 
     async def listen(self, caller: int) -> int:
-        """Opens a port for a caller and returns it."""
+        """Opens a port for a caller; returns its number."""
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await self._serve(caller, reader, writer)
@@ -95,7 +95,7 @@
             writer.transport.abort()
 
     def add(self, name: int, amount: float, lifetime: float) -> float:
-        """Adds to a name, which is forgotten `lifetime` after its first call, and returns its total."""
+        """Adds to an entry, which expires `lifetime` seconds after its first call; returns its total."""
         now = time.monotonic()
         if now >= self.expires_at.get(name, 0.0):
             self.totals[name], self.expires_at[name] = 0.0, now + min(lifetime, MAX_LIFETIME_S)
@@ -103,7 +103,7 @@
         return self.totals[name]
 
     async def _serve(self, caller: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Reads calls as they come and answers them in order; what a broken connection leaves is lost."""
+        """Reads pipelined calls and answers them in order; after a connection reset those left are lost."""
         self.writers.add(writer)
         queue: asyncio.Queue[QueuedCall | None] = asyncio.Queue()
         responding = asyncio.ensure_future(self._respond_all(caller, queue, writer))
@@ -130,7 +130,7 @@
     async def _respond(
         self, caller: int, call: QueuedCall, outcome: CallOutcome, writer: asyncio.StreamWriter
     ) -> bool:
-        """Answers one call; tells whether the connection goes on."""
+        """Handles one call; returns whether the connection stays open."""
         match = CALL_PATTERN.fullmatch(call.message.start_line)
         if not match:
             writer.write(http_response(400, b""))
--- a/testbed/standins/discovery.py
+++ b/testbed/standins/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery and its agents on loopback: watches that tell changes, fall silent, end, or send whole lists."""
+"""A fake discovery with an agent for each gateway: its watches send changes or full lists, or fall silent."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 from testbed.standins.http import chunk, http_response, read_message
 from testbed.standins.lists import WATCH_RESPONSE_HEAD, host_entry, list_message
 
-HEARTBEAT_INTERVAL_S = 2.0  # s between empty lines
+HEARTBEAT_INTERVAL_S = 2.0  # between empty lines on a watch
 WATCH_PATTERN = re.compile(rb"GET /discovery/hosts\?stream=1(?:&index=(\d+))? HTTP/1\.1")
-DOWN_POLL_INTERVAL_S = 0.02  # s between looks at whether discovery is back
+DOWN_POLL_INTERVAL_S = 0.02  # between checks whether discovery is up again
 
 
 @dataclass(frozen=True, slots=True)
 class ListedHost:
-    """A host as discovery has it."""
+    """A host in the list of discovery."""
 
     name: str
     port: int
     status: str
-    started_at: float  # Unix time of its last start, nought for long ago
+    started_at: float  # Unix time of its last start; 0: long ago
 
     def as_entry(self) -> dict[str, Any]:
         return host_entry(self.name, self.port, status=self.status, since_ms=round(self.started_at * 1000))
@@ -33,17 +33,21 @@
 
 @dataclass(eq=False)
 class Watch:
-    """An open watch of one gateway."""
+    """An open watch: a streamed response that tells one gateway each change of the host list."""
 
     agent: Agent
     writer: asyncio.StreamWriter
-    index: int
-    silent: bool = False
+    index: int  # of the list that it has sent last; -1: none
+    silent: bool = False  # stays open and sends nothing more
     changed: asyncio.Event = field(default_factory=asyncio.Event)
 
 
 class Registry:
-    """The list and its history; `on_status_sent` hears of each state that a watch is sent."""
+    """The host list and its history.
+
+    With `full_lists`, each message holds all active hosts, and a host that is missing has left.
+    `on_status_sent(gateway, host, status)` is called for each host status that a watch has sent.
+    """
 
     def __init__(self, full_lists: bool, on_status_sent: Callable[[int, str, str], None]) -> None:
         self.full_lists, self.on_status_sent = full_lists, on_status_sent
@@ -54,7 +58,7 @@
         self.down_until = 0.0  # s, monotonic
 
     def change(self, listed: ListedHost) -> float:
-        """Takes a change; returns when the agents have it (s, monotonic)."""
+        """Applies a change; returns when the agents know it (s, monotonic)."""
         self.index += 1
         self.hosts[listed.name] = listed
         if listed.status == "left":
@@ -69,13 +73,13 @@
                 watch.changed.set()
 
     def silence_watches(self) -> None:
-        """The watches that are open now say nothing any more, and stay open."""
+        """Makes the watches that are open now send nothing more, and stay open."""
         for agent in self.agents:
             for watch in agent.watches:
                 watch.silent = True
 
     def go_down(self, seconds: float) -> None:
-        """The agents learn nothing and say nothing for a while."""
+        """Makes discovery unavailable: for some seconds the agents get and send no changes."""
         self.down_until = max(self.down_until, time.monotonic() + seconds)
         asyncio.get_running_loop().call_later(seconds + DOWN_POLL_INTERVAL_S, self.wake_watches)
 
@@ -84,7 +88,7 @@
         return time.monotonic() < self.down_until
 
     def build_message(self, after: int | None) -> tuple[bytes, list[ListedHost]]:
-        """What a watch from this version on is sent, and the states that it tells."""
+        """The next message for a watch that has the list of index `after` (None: no list), and its hosts."""
         if after is not None and not self.full_lists:
             changes = {listed.name: listed for index, listed in self.history if index > after}
             listed = list(changes.values())
@@ -93,13 +97,13 @@
         return list_message(self.index, *[each.as_entry() for each in listed], snapshot=True), listed
 
     def full_list(self) -> dict[str, Any]:
-        """The whole list as a configuration holds it."""
+        """The list in the format of a gateway's configuration."""
         entries = [host.as_entry() for host in self.hosts.values()]
         return {"index": self.index, "snapshot": True, "endpoints": entries}
 
 
 class Agent:
-    """The agent on one gateway's machine."""
+    """The agent on one gateway's machine, which the gateway calls for the host list."""
 
     def __init__(self, registry: Registry, gateway: int) -> None:
         self.registry, self.gateway = registry, gateway
@@ -160,7 +164,7 @@
         watch.writer.write(chunk(message))
         watch.index = self.registry.index
         statuses = {each.name: each.status for each in listed}
-        if after is None or self.registry.full_lists:  # what a whole list does not name is disconnected
+        if after is None or self.registry.full_lists:  # a host missing from a full list has left
             statuses = {name: statuses.get(name, "left") for name in before}
         for name, status in statuses.items():
             self.registry.on_status_sent(self.gateway, name, status)
--- a/testbed/standins/hosts.py
+++ b/testbed/standins/hosts.py
@@ -1,4 +1,4 @@
-"""Hosts on loopback that serve, hang, reset, turn away or stop, and tell what reached them."""
+"""Fake hosts on loopback that serve, hang, reset, reject or stop, and report the requests they receive."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 from testbed.standins.http import Message, http_response, parse_head
 from testbed.standins.ports import free_port
 
-MIN_SERVICE_TIME_S, MAX_SERVICE_TIME_S = 0.005, 0.04  # s that a request takes
+MIN_SERVICE_TIME_S, MAX_SERVICE_TIME_S = 0.005, 0.04
 
 
 class HostMode(Enum):
-    """What a host does with a request that it has read whole."""
+    """What a host does with a request that it has read in full."""
 
     SERVES = "serves"
     HANGS = "hangs"
     RESETS = "resets"
-    REJECTS = "turns away"
+    REJECTS = "rejects"
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request that a host has read whole, with the times of its first and last byte (s, monotonic)."""
+    """A request that a host has read in full, with the times of its first and last byte (s, monotonic)."""
 
     message: Message
     first_byte_at: float
@@ -38,7 +38,11 @@
 
 
 class Host:
-    """One host: `on_arrival` is told of each request, `on_end` of its end and whether it surely never ran."""
+    """A fake host.
+
+    `on_arrival` is called for each request read in full; `on_end` when it has been answered or dropped, with
+    whether it certainly was not processed.
+    """
 
     def __init__(
         self,
@@ -49,13 +53,13 @@
     ) -> None:
         self.name, self.service_time, self.on_arrival, self.on_end = name, service_time, on_arrival, on_end
         self.mode = HostMode.SERVES
-        self.started_at = 0.0  # Unix time of its last start, nought for long ago
+        self.started_at = 0.0  # Unix time of its last start; 0: long ago
         self.port = free_port()
         self.server: asyncio.Server | None = None
         self.writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
-        """Listens, at the same port as before; nothing to do where it does already."""
+        """Listens on its port, the same one after each stop; does nothing if it listens already."""
         if self.server:
             return
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
@@ -79,7 +83,7 @@
             writer.close()
 
     async def _serve_one(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-        """Reads and answers one request; tells whether the connection goes on."""
+        """Reads and handles one request; returns whether the connection stays open."""
         first = await reader.readexactly(1)
         first_byte_at = time.monotonic()
         message = parse_head(first + await reader.readuntil(b"\r\n\r\n"))
@@ -90,7 +94,7 @@
         never_ran = mode is HostMode.REJECTS
         try:
             if mode is HostMode.HANGS:
-                await reader.read()  # until the gateway gives up
+                await reader.read()  # until the gateway closes the connection
                 return False
             if mode is HostMode.RESETS:
                 await asyncio.sleep(self.service_time() / 2)
--- a/testbed/standins/http.py
+++ b/testbed/standins/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages as the stand-ins and test clients read and write them."""
+"""Reads and writes HTTP/1.1 messages, for the stand-ins and the test clients."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass
 class Message:
-    """An HTTP message as it came."""
+    """An HTTP request or response."""
 
     start_line: bytes
     headers: dict[bytes, bytes]
@@ -20,7 +20,7 @@
 
 
 def parse_head(head: bytes) -> Message:
-    """A message without its body, from all bytes up to the empty line; header names in lower case."""
+    """Parses a head up to and including the empty line; header names are lowercased, the body is left empty."""
     start_line, *lines = head[:-4].split(b"\r\n")
     headers = {}
     for line in lines:
@@ -30,19 +30,19 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> Message:
-    """The next message with its body; raises IncompleteReadError where the connection ends before."""
+    """Reads the next message with its body; raises IncompleteReadError if the connection ends too early."""
     message = parse_head(await reader.readuntil(b"\r\n\r\n"))
     message.body = await reader.readexactly(int(message.headers.get(b"content-length", b"0")))
     return message
 
 
 def http_response(status: int = 200, body: bytes = b"ok", **headers: str) -> bytes:
-    """An answer with its length; an underscore in a header's name stands for a hyphen."""
+    """A response with a Content-Length; underscores in the names of `headers` stand for hyphens."""
     lines = [f"HTTP/1.1 {status} x", f"Content-Length: {len(body)}"]
     lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
 def chunk(data: bytes) -> bytes:
-    """One chunk of a chunked answer."""
+    """One chunk of a chunked body."""
     return b"%x\r\n%b\r\n" % (len(data), data)
--- a/testbed/standins/peer.py
+++ b/testbed/standins/peer.py
@@ -1,4 +1,4 @@
-"""A server that hands each request that it gets to a test, which answers it."""
+"""A fake server whose requests are answered by the test."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 from testbed.standins.http import Message, read_message
 
-TEST_TIMEOUT_S = 20.0  # s within which anything that a test waits for must have happened
+TEST_TIMEOUT_S = 20.0  # for each thing that a test waits for
 
 
 @dataclass
 class ReceivedRequest:
-    """A request at a fake host or counter, and the connection to answer it on."""
+    """A request that a fake server received, and the connection to answer it on."""
 
     message: Message
     writer: asyncio.StreamWriter
-    connection: int
+    connection: int  # number of the connection, from 1
 
     def reply(self, data: bytes) -> None:
         self.writer.write(data)
@@ -31,15 +31,15 @@
 
 @dataclass
 class FakeServer:
-    """A server that puts each request it receives into `requests`, for a test to answer.
+    """A server that puts each request it receives into `requests`, for the test to answer.
 
-    Where `auto_response` is set, it is sent at once as the response to each request.
+    If `auto_response` is set, it is sent at once as the response to each request.
     """
 
     auto_response: bytes | None = None
     requests: asyncio.Queue[ReceivedRequest] = field(default_factory=asyncio.Queue)
-    connections: int = 0
-    closed: int = 0
+    connections: int = 0  # accepted so far
+    closed: int = 0  # connections that have ended
     writers: list[asyncio.StreamWriter] = field(default_factory=list)
 
     async def start(self, port: int = 0) -> FakeServer:
--- a/testbed/standins/ports.py
+++ b/testbed/standins/ports.py
@@ -1,18 +1,16 @@
-"""Ports for listeners that are closed and opened again."""
+"""Ports for listeners that are closed and reopened."""
 
 from __future__ import annotations
 
 import random
 import socket
 
-FIRST_PORT, LAST_PORT = (
-    10_000,
-    32_000,
-)  # below those that the system gives to connections, which may take one meanwhile
+# Below the ephemeral ports: an outgoing connection might take one of those while the listener is closed.
+FIRST_PORT, LAST_PORT = 10_000, 32_000
 
 
 def free_port() -> int:
-    """A port on loopback that nobody has now; raises OSError where none is found."""
+    """Returns a port on loopback that is not in use now; raises OSError if it finds none."""
     rng = random.SystemRandom()
     for _ in range(LAST_PORT - FIRST_PORT):
         port = rng.randint(FIRST_PORT, LAST_PORT)
