--- a/testbed/soak/__main__.py
+++ b/testbed/soak/__main__.py
@@ -89,7 +89,8 @@
     failed = sorted(result.seed for result in results if not result.passed)
     requests, starts = sum(r.requests for r in results), sum(r.starts for r in results)
     click.echo(
-        f"{len(results)} runs, {requests} requests, {starts} gateway starts, {len(failed)} failed {failed or ''}"
+        f"{len(results)} runs, {requests} requests, {starts} gateway starts, "
+        f"{len(failed)} failed {failed or ''}"
     )
     return EXIT_FAILED if failed else 0
 
--- a/testbed/soak/clients.py
+++ b/testbed/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients that send in an open loop, keep their connections, leave early, and resend as the protocol says."""
+"""Clients that send at random times, reuse connections, leave early and resend as the protocol allows."""
 
 from __future__ import annotations
 
@@ -13,30 +13,31 @@
 from testbed.soak.gateways import GatewayProcess
 from testbed.standins.http import Message, read_message
 
-ABANDON_SHARE = 0.12  # share of the requests whose client leaves while it waits
-SHORT_TIMEOUT_SHARE = 0.05  # share of the requests with very little time left
-MAX_IDLE_CONNECTIONS = 24  # connections that a client keeps to a gateway
-LATE_READ_TIME_S = 2.0  # s after its time in which an answer is still read
+ABANDON_SHARE = 0.12  # of the requests: their client leaves while it waits for the response
+SHORT_TIMEOUT_SHARE = 0.05  # of the requests: they have a very short timeout
+MAX_IDLE_CONNECTIONS = 24  # to all gateways together
+LATE_READ_TIME_S = 2.0  # after its timeout, for which a client still reads the response
 REQUEST_CLASSES: tuple[r.Repeat, ...] = ("safe", "safe", "keyed", "unsafe")
 PLANS = ("team", "capped")
-AUDITED_CUSTOMERS = (5, 13, 34)  # of plan `team`; gateway 0 has all their requests, and counts them first
+# On plan `team`. All their requests go to gateway 0, so that their units on the counter can be checked.
+AUDITED_CUSTOMERS = (5, 13, 34)
 OTHER_CUSTOMERS = range(100, 130)
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A request as its client makes it."""
+    """A request of a client."""
 
     id: str
     idempotency: r.Repeat
     plan: str
     customer: int
-    units: int
-    timeout: float
-    leaves_after: float | None
+    units: int  # quota units
+    timeout: float  # s
+    leaves_after: float | None  # s until the client closes its connection; None: it waits for the response
 
     def encode(self, entry_gateways: int) -> bytes:
-        """The request in the protocol's form."""
+        """The request as HTTP; `entry_gateways` is how many gateways receive the customer's requests."""
         method = "GET" if self.idempotency == "safe" else "POST"
         lines = [
             f"{method} /api HTTP/1.1",
@@ -57,10 +58,10 @@
 
 @dataclass(eq=False)
 class Connection:
-    """A connection to one start of a gateway."""
+    """A connection to one process of a gateway."""
 
     gateway: GatewayProcess
-    start: int
+    start: int  # number of the process
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
     requests_sent: int = 0
@@ -71,7 +72,7 @@
 
 
 class Clients:
-    """All clients of a run, behind a front that knows which gateways take new connections."""
+    """All clients of a run; they know which gateways accept new connections."""
 
     def __init__(
         self,
@@ -93,25 +94,25 @@
         self.last_id = 0
 
     def draw_request(self) -> Request:
-        """The next request."""
+        """Draws the next request."""
         self.last_id += 1
         rng = self.rng
-        books, leaves = rng.random() < 0.25, rng.random() < ABANDON_SHARE
+        is_audited, leaves = rng.random() < 0.25, rng.random() < ABANDON_SHARE
         timeout = rng.uniform(0.3, 1.0) * self.timeout
         if rng.random() < SHORT_TIMEOUT_SHARE:
             timeout = rng.uniform(0.01, 0.1)
         return Request(
             id=f"q{self.last_id}",
             idempotency=rng.choice(REQUEST_CLASSES),
-            plan=PLANS[0] if books else rng.choice(PLANS),
-            customer=rng.choice(AUDITED_CUSTOMERS if books else OTHER_CUSTOMERS),
+            plan=PLANS[0] if is_audited else rng.choice(PLANS),
+            customer=rng.choice(AUDITED_CUSTOMERS if is_audited else OTHER_CUSTOMERS),
             units=rng.choice((1, 1, 2, 4)),
             timeout=timeout,
             leaves_after=rng.uniform(0.0, rng.choice((0.03, 0.8))) * timeout if leaves else None,
         )
 
     async def send_requests(self, seconds: float, per_second: float) -> None:
-        """Sends requests at random times, whatever becomes of those before."""
+        """Sends requests at random times, without waiting for the responses to earlier ones."""
         end = time.monotonic() + seconds
         due = time.monotonic()
         while (due := due + self.rng.expovariate(per_second)) < end:
@@ -119,14 +120,14 @@
             self.start_request(self.draw_request())
 
     def start_request(self, request: Request) -> asyncio.Task[None]:
-        """Sends one request, in a task of its own."""
+        """Sends one request in its own task."""
         task = asyncio.get_running_loop().create_task(self.process(request))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         return task
 
     async def finish(self) -> None:
-        """Waits for all requests to end, then closes all connections."""
+        """Waits until all requests have ended, then closes the idle connections."""
         while self.tasks:
             await asyncio.wait(self.tasks)
         for connection in self.idle:
@@ -134,7 +135,7 @@
         self.idle.clear()
 
     async def process(self, request: Request) -> None:
-        """One request to its end; sent once more where a kept connection ended unanswered."""
+        """Sends a request; resends it once if a reused connection ended without a response."""
         connection = await self._get_connection(request, only_new=False)
         if connection and await self._send(request, connection, resent=False):
             connection = await self._get_connection(request, only_new=True)
@@ -142,18 +143,18 @@
                 await self._send(request, connection, resent=True)
 
     async def _get_connection(self, request: Request, only_new: bool) -> Connection | None:
-        """A connection that is kept, of any start that still holds it open, or a new one."""
-        pinned = request.customer in AUDITED_CUSTOMERS
+        """An open idle connection, unless `only_new`, or else a new one; None if no gateway accepts one."""
+        gateway_0_only = request.customer in AUDITED_CUSTOMERS
         if not only_new:
-            kept = [c for c in self.idle if c.gateway.index == 0 or not pinned]
-            while kept:
-                connection = kept.pop(self.rng.randrange(len(kept)))
+            idle = [c for c in self.idle if c.gateway.index == 0 or not gateway_0_only]
+            while idle:
+                connection = idle.pop(self.rng.randrange(len(idle)))
                 self.idle.remove(connection)
                 if connection.is_open:
                     return connection
                 connection.writer.close()
         open_gateways = [
-            g for g in self.gateways if self._accepts_connections(g) and (g.index == 0 or not pinned)
+            g for g in self.gateways if self._accepts_connections(g) and (g.index == 0 or not gateway_0_only)
         ]
         self.rng.shuffle(open_gateways)
         for gateway in open_gateways:
@@ -168,7 +169,7 @@
         return gateway.is_ready or time.monotonic() < gateway.new_connections_until
 
     async def _send(self, request: Request, connection: Connection, resent: bool) -> bool:
-        """Sends a request and notes what comes; tells whether it has to be sent once more."""
+        """Sends a request and records what comes back; returns whether it must be resent."""
         gateway, kept = connection.gateway, connection.requests_sent > 0
         connection.requests_sent += 1
         sent = r.RequestSent(
--- a/testbed/soak/gateways.py
+++ b/testbed/soak/gateways.py
@@ -1,4 +1,4 @@
-"""Gateways as real processes: started by the deploy file's command, signalled, sampled, ended."""
+"""Gateways as real processes, started with the command of the deploy file."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
 from testbed.standins.ports import free_port
 
 ROOT = Path(__file__).resolve().parent.parent.parent
-POLL_INTERVAL_S = 0.02  # s between looks at whether a process is ready
+POLL_INTERVAL_S = 0.02  # between checks whether a process is ready
 UP_REQUEST = b"GET /up HTTP/1.1\r\nHost: service.internal\r\n\r\n"
-FAILURE_MARKERS = ("Traceback", " ERROR ")  # in a log line: the gateway failed at something of its own
+FAILURE_MARKERS = ("Traceback", " ERROR ")  # in log lines that report an internal error
 PAGE_SIZE_BYTES = os.sysconf("SC_PAGE_SIZE")
 Signal = Literal["SIGTERM", "SIGHUP", "SIGKILL"]
 
 
 def deploy_command(name: str) -> str:
-    """A command of the deploy file; raises KeyError where it has none by this name."""
+    """A command of the deploy file; raises KeyError if it has none with this name."""
     return str(tomllib.loads((ROOT / "deploy/balancer.toml").read_text())[name])
 
 
 class GatewayProcess:
-    """One gateway through all its starts; `add_entry` takes what is seen of it."""
+    """One gateway and its successive processes; `add_entry` gets the entries for the record."""
 
     def __init__(
         self,
@@ -42,11 +42,11 @@
     ) -> None:
         self.index, self.folder, self.configuration, self.add_entry = index, folder, configuration, add_entry
         self.port = free_port()
-        self.start_number = -1  # of its starts, from 0 on
+        self.start_number = -1  # of the current process, from 0
         self.process: asyncio.subprocess.Process | None = None
         self.is_ready = False
-        self.is_stopping = False  # it has got SIGTERM
-        self.new_connections_until = 0.0  # s, monotonic: how long after SIGTERM new clients may come
+        self.is_stopping = False  # SIGTERM was sent
+        self.new_connections_until = 0.0  # s, monotonic: clients connect until then, also after SIGTERM
         self.paths = [self.folder / f"gateway{index}.json", self.folder / f"gateway{index}.log"]
         self.tasks: set[asyncio.Task[None]] = set()
 
@@ -56,7 +56,7 @@
         path.with_suffix(".new").replace(path)
 
     async def start(self) -> None:
-        """Starts it; it is ready some time later."""
+        """Starts the process; `is_ready` is set once it answers that it is up."""
         self.start_number += 1
         self.is_ready = self.is_stopping = False
         self.write_configuration()
@@ -109,7 +109,7 @@
         return self.process is not None and self.process.returncode is None
 
     def signal(self, name: Signal, planned: bool = False) -> None:
-        """Sends it a signal, if it runs."""
+        """Sends a signal if the process runs; a SIGHUP only if the shell has become the gateway."""
         if self.process is None or not self.is_running or (name == "SIGHUP" and not self._shell_has_execed()):
             return
         self.add_entry(r.ProcessSignalled(time.monotonic(), self.index, self.start_number, name, planned))
@@ -121,7 +121,7 @@
             self.process.send_signal(getattr(signal, name))
 
     def _shell_has_execed(self) -> bool:
-        """Whether the shell has become the gateway; until then it may not have come to its trap."""
+        """Whether the shell has replaced itself by the gateway; before, it may not ignore SIGHUP yet."""
         assert self.process is not None
         try:
             return b"coralvale" in Path(f"/proc/{self.process.pid}/cmdline").read_bytes().split(b"\0")
@@ -129,7 +129,7 @@
             return False
 
     async def stall(self, seconds: float) -> None:
-        """Holds the process up for a while."""
+        """Stops the process for some seconds, with SIGSTOP and SIGCONT."""
         if self.process is None or not self.is_running:
             return
         process, began_at = self.process, time.monotonic()
@@ -142,7 +142,7 @@
         self.add_entry(r.Delayed(began_at, self.index, time.monotonic()))
 
     async def wait_for_exit(self, seconds: float) -> bool:
-        """Whether it ends within so many seconds."""
+        """Waits for the process to end; returns whether it has ended within `seconds`."""
         if self.process is None:
             return True
         with contextlib.suppress(TimeoutError):
@@ -151,7 +151,7 @@
         return not self.is_running
 
     def resource_usage(self) -> tuple[int, int]:
-        """Its open descriptors and resident memory (bytes); noughts where it has ended."""
+        """The number of open descriptors and the resident memory in bytes; zeros if the process has ended."""
         if self.process is None:
             return 0, 0
         try:
@@ -162,14 +162,14 @@
             return 0, 0
 
     def record_failures(self) -> None:
-        """Notes the log's lines that tell of a failure of the gateway's own."""
+        """Adds an entry for each log line that reports an internal error."""
         _, log = self.paths
         for text in log.read_text(errors="replace").splitlines() if log.exists() else []:
             if any(marker in text for marker in FAILURE_MARKERS):
                 self.add_entry(r.ErrorLogged(time.monotonic(), self.index, text[:200]))
 
     async def close(self) -> None:
-        """Ends it for good, whatever it does."""
+        """Kills the process, even if it is stopped, and ends all tasks."""
         if self.process is not None and self.is_running:
             with contextlib.suppress(ProcessLookupError):
                 self.process.send_signal(signal.SIGCONT)
--- a/testbed/soak/record.py
+++ b/testbed/soak/record.py
@@ -202,7 +202,7 @@
     entries: list[AnyEntry] = msgspec.field(default_factory=list)
 
     def of(self, entry_type: type[EntryType]) -> list[EntryType]:
-        """All entries of a entry_type, in the order of their time."""
+        """All entries of a type, in the order of their times."""
         return sorted((e for e in self.entries if isinstance(e, entry_type)), key=lambda entry: entry.at)
 
     def write(self, path: Path) -> None:
--- a/testbed/soak/run.py
+++ b/testbed/soak/run.py
@@ -1,4 +1,4 @@
-"""One run of the soak: stand-ins, gateways and clients on one event loop, and the record of what they saw."""
+"""One run of the soak: the stand-ins and clients on one event loop, the gateway processes, and the record."""
 
 from __future__ import annotations
 
@@ -17,26 +17,26 @@
 from testbed.standins.discovery import Agent, ListedHost, Registry
 from testbed.standins.hosts import MAX_SERVICE_TIME_S, MIN_SERVICE_TIME_S, Arrival, Host, HostMode
 
-ENTRY_GATEWAYS = 12  # gateways of a set, most of which do not run: so the shared bucket decides
-COUNTER_TIMEOUT_S = 0.05  # s that a call to the counter may take
-MAX_COUNTER_DELAY_S = 0.03  # s that a counter in trouble takes at the most
-CERTAIN_REPLY_TIME_S = 0.04  # s from a call's arrival to its answer, within which no gateway has given up
+ENTRY_GATEWAYS = 12  # of each customer; most of them do not run, so the shared bucket decides
+COUNTER_TIMEOUT_S = 0.05  # of the gateways' calls to the counter
+MAX_COUNTER_DELAY_S = 0.03  # of a faulty counter
+CERTAIN_REPLY_TIME_S = 0.04  # a call answered sooner has certainly not timed out
 CERTAIN_OUTCOMES = [CallOutcome.ADDED, CallOutcome.REJECTED, CallOutcome.REJECTED]
-KEY_TTL_S = 5.0  # s
-POLL_INTERVAL_S = 0.01  # s between looks at how late the event loop is
-MIN_RECORDED_LAG_S = 0.02  # s of lateness that is noted
-START_TIMEOUT_S = 15.0  # s that all gateways may take at the start
-SETTLE_TIME_S = 1.2  # s after the load until what is left is looked at
-MAX_FLUSH_ROUNDS = 80  # requests of a customer by which a gateway may tell the counter what it has not told
-FLUSH_CALLS_NEEDED = 2  # calls that tell all: the second is for what was in hand at the first
-FLUSH_PAUSE_S = 0.25  # s between them, in which a gateway trusts a counter that was in trouble again
-MAX_SOCKETS = 192  # descriptors of a gateway
-FLOOD_CONNECTIONS = 110  # idle clients
-NEW_CONNECTIONS_TIME_S = (0.2, 0.4)  # s after SIGTERM in which new connections go on coming
+KEY_TTL_S = 5.0  # for which hosts remember idempotency keys
+POLL_INTERVAL_S = 0.01  # between checks of the gateways, and of how late the event loop is
+MIN_RECORDED_LAG_S = 0.02  # of the event loop
+START_TIMEOUT_S = 15.0  # until all gateways are ready
+SETTLE_TIME_S = 1.2  # after the load, before the resources of the gateways are recorded
+MAX_FLUSH_ROUNDS = 80  # of requests that make a gateway report its unreported units to the counter
+FLUSH_CALLS_NEEDED = 2  # of each customer: the second reports what was outstanding at the first
+FLUSH_PAUSE_S = 0.25  # between rounds, so that a gateway calls a counter again that was faulty
+MAX_SOCKETS = 192  # of a gateway
+FLOOD_CONNECTIONS = 110  # of idle clients
+NEW_CONNECTIONS_TIME_S = (0.2, 0.4)  # range of the time after SIGTERM for which new clients still come
 
 
 class Run:
-    """Plays one plan; `folder` gets the gateways' configurations and logs."""
+    """Plays one plan; the gateways' configurations and logs are written to `folder`."""
 
     def __init__(self, plan: RunPlan, folder: Path) -> None:
         self.plan, self.folder = plan, folder
@@ -56,13 +56,14 @@
             for i in range(plan.hosts)
         ]
         self.gateways: list[GatewayProcess] = []
-        self.agents: list[list[Agent]] = []  # by gateway: the one at first, and those of reloads
-        self.counter_ports: list[list[int]] = []
-        self.reload_counts = [0] * plan.gateways  # which agent and counter port each configuration names
+        self.agents: list[list[Agent]] = []  # by gateway: two, which reloads alternate between
+        self.counter_ports: list[list[int]] = []  # likewise
+        # By gateway; each reload makes the gateway use its other agent and its other port of the counter.
+        self.reload_counts = [0] * plan.gateways
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def execute(self) -> r.Record:
-        """Starts everything, plays the plan, looks at what is left, and ends everything."""
+        """Starts everything, injects the faults, records the resources still in use and stops everything."""
         try:
             await self._start()
             clients = Clients(
@@ -72,7 +73,7 @@
             for event in self.plan.events:
                 self._spawn(self._inject(begin, event))
             await clients.send_requests(self.plan.seconds, self.plan.requests_per_second)
-            while len(self.tasks) > 1:  # the last one watches the lag
+            while len(self.tasks) > 1:  # the last one is `_record_lag`
                 await asyncio.sleep(POLL_INTERVAL_S)
             await self._end_faults()
             await clients.finish()
@@ -115,7 +116,7 @@
         )
 
     async def _end_faults(self) -> None:
-        """Ends all troubles, and waits until each gateway that is to run is ready."""
+        """Ends all faults and waits until all gateways are ready."""
         self.counter_faults_until = 0.0
         for host in self.hosts:
             host.mode = HostMode.SERVES
@@ -125,7 +126,7 @@
                     await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _flush_counter(self, clients: Clients) -> None:
-        """Has gateway 0 tell the counter what it has not told: each call carries that along."""
+        """Makes gateway 0 report all unreported units: each call for a request adds them to its amount."""
         calls_before = {customer: self._count_calls(customer) for customer in AUDITED_CUSTOMERS}
         for number in range(MAX_FLUSH_ROUNDS):
             for customer in calls_before:
@@ -168,7 +169,7 @@
             gateway.record_failures()
 
     async def close(self) -> None:
-        """Ends all that it started."""
+        """Ends everything that was started."""
         for task in list(self.tasks):
             task.cancel()
         for gateway in self.gateways:
@@ -185,7 +186,7 @@
         task.add_done_callback(self.tasks.discard)
 
     async def _record_lag(self) -> None:
-        """Notes where the event loop was late: what it saw then may have come earlier."""
+        """Records when the event loop was late: what it saw then may have happened earlier."""
         while True:
             begin = time.monotonic()
             await asyncio.sleep(POLL_INTERVAL_S)
@@ -193,7 +194,7 @@
             if late > MIN_RECORDED_LAG_S:
                 self.add_entry(r.Delayed(begin, -1, time.monotonic()))
 
-    # What the stand-ins see
+    # Callbacks of the stand-ins
 
     def _on_status_sent(self, gateway: int, host: str, status: str) -> None:
         self.add_entry(r.HostTold(time.monotonic(), gateway, host, status))  # type: ignore[arg-type]
@@ -225,19 +226,17 @@
         return CallOutcome.ADDED
 
     def _counter_delay(self) -> float:
-        """A counter in trouble is slow as well, so that clients leave while it is asked."""
+        """A faulty counter is also slow, so that some clients leave during a call."""
         is_faulty = time.monotonic() < self.counter_faults_until
         return self.rng.uniform(0.0, MAX_COUNTER_DELAY_S) if is_faulty else 0.0
 
     def _on_counter_call(self, call: Call) -> None:
-        is_certain = (
-            call.outcome.is_certain and call.reply_delay < CERTAIN_REPLY_TIME_S
-        )  # else the gateway gave up first
+        is_certain = call.outcome.is_certain and call.reply_delay < CERTAIN_REPLY_TIME_S
         self.add_entry(
             r.CounterCalled(call.at, call.caller, call.name, call.amount, call.outcome.was_added, is_certain)
         )
 
-    # Troubles
+    # Faults
 
     async def _inject(self, begin: float, event: FaultEvent) -> None:
         await asyncio.sleep(max(0.0, begin + event.at - time.monotonic()))
@@ -263,7 +262,7 @@
             await self._inject_host_fault(host, event)
 
     async def _restart(self, gateway: GatewayProcess) -> None:
-        """A planned restart: SIGTERM, new connections for a while, the kill at its earliest, a new start."""
+        """A planned restart: SIGTERM, new clients for a while, the earliest kill that is allowed, a start."""
         if not gateway.is_ready:
             return
         gateway.new_connections_until = time.monotonic() + self.rng.uniform(*NEW_CONNECTIONS_TIME_S)
@@ -283,7 +282,7 @@
         await gateway.start()
 
     def _reload(self, gateway: GatewayProcess) -> None:
-        """A new configuration, which moves discovery and the counter."""
+        """Reloads the configuration, which names the other agent and the other port of the counter."""
         self.reload_counts[gateway.index] += 1
         gateway.write_configuration()
         gateway.signal("SIGHUP")
@@ -334,7 +333,7 @@
 def configuration(
     plan: RunPlan, index: int, port: int, discovery: int, counter: int, known: dict[str, Any]
 ) -> dict[str, Any]:
-    """A gateway's configuration in the form of the deploy page."""
+    """The configuration file of a gateway."""
     shared = {"aim_s": plan.client_timeout / 2, "give_up_s": plan.client_timeout, "worth": 1.0}
     return {
         "name": f"g{index}",
@@ -356,7 +355,8 @@
                 {"name": "unsafe", "repeat": "single_shot", **shared},
             ],
             "packages": [
-                # So slow a rate that no shared bucket is ever filled up, so that the books are plain.
+                # At this rate no unused quota has to be added back to a shared bucket: the counter holds
+                # nothing but the units of requests.
                 {"name": PLANS[0], "per_second": 0.01, "most_at_once": 1e6, "excess_cost": 1.0},
                 {
                     "name": PLANS[1], "per_second": 50.0, "most_at_once": 100.0, "excess_cost": 1.0,
@@ -367,7 +367,7 @@
                 "send_cap": 4, "connect_timeout_s": 0.25, "conn_idle_s": 15.0, "most_held": 400,
                 "retry_after": True, "max_retry_after_s": 0.5, "may_cancel": True,
             },
-            # Without the most units of a request no sample is drawn: each call is for its own request alone.
+            # Without `most_units` requests are not sampled: each one has its own call to the counter.
             "family_info": {
                 "may_count": True, "count_wait_s": COUNTER_TIMEOUT_S, "use_period_s": 0.0,
             },
--- a/testbed/standins/http.py
+++ b/testbed/standins/http.py
@@ -20,7 +20,7 @@
 
 
 def parse_head(head: bytes) -> Message:
-    """Parses a head up to and including the empty line; header names are lowercased, the body is left empty."""
+    """Parses a head, with its empty line, to a message without a body; header names are lowercased."""
     start_line, *lines = head[:-4].split(b"\r\n")
     headers = {}
     for line in lines:
