--- a/testbed/soak/checker.py
+++ b/testbed/soak/checker.py
@@ -148,7 +148,7 @@
         return f"{how}; sent {'on a reused connection ' if last.kept else ''}to gateway {last.gateway}"
 
     def _was_killed(self, sent: r.RequestSent, end: float) -> bool:
-        """Whether its gateway process was killed after it was sent, by `end`, and not in a planned restart."""
+        """Whether its gateway process was killed from `sent` to `end`, other than in a planned restart."""
         return any(
             s.signal == "SIGKILL" and not s.planned and (s.gateway, s.start) == (sent.gateway, sent.start)
             and sent.at <= s.at <= end
--- a/testbed/soak/clients.py
+++ b/testbed/soak/clients.py
@@ -17,6 +17,7 @@
 SHORT_TIMEOUT_SHARE = 0.05  # of the requests: they have a very short timeout
 MAX_IDLE_CONNECTIONS = 24  # to all gateways together
 LATE_READ_TIME_S = 2.0  # after its timeout, for which a client still reads the response
+# Drawn evenly, so "safe" is twice as frequent.
 REQUEST_CLASSES: tuple[r.Repeat, ...] = ("safe", "safe", "keyed", "unsafe")
 PLANS = ("team", "capped")
 # On plan `team`. All their requests go to gateway 0, so that their units on the counter can be checked.
@@ -72,7 +73,7 @@
 
 
 class Clients:
-    """All clients of a run; they know which gateways accept new connections."""
+    """All clients of a run. They connect only to gateways that are ready or have just begun to stop."""
 
     def __init__(
         self,
@@ -143,7 +144,10 @@
                 await self._send(request, connection, resent=True)
 
     async def _get_connection(self, request: Request, only_new: bool) -> Connection | None:
-        """An open idle connection, unless `only_new`, or else a new one; None if no gateway accepts one."""
+        """An open idle connection, also to a process that is stopping, or else a new one.
+
+        None if no gateway accepts a new connection. `only_new` leaves out idle connections.
+        """
         gateway_0_only = request.customer in AUDITED_CUSTOMERS
         if not only_new:
             idle = [c for c in self.idle if c.gateway.index == 0 or not gateway_0_only]
--- a/testbed/soak/gateways.py
+++ b/testbed/soak/gateways.py
@@ -46,7 +46,7 @@
         self.process: asyncio.subprocess.Process | None = None
         self.is_ready = False
         self.is_stopping = False  # SIGTERM was sent
-        self.new_connections_until = 0.0  # s, monotonic: clients connect until then, also after SIGTERM
+        self.new_connections_until = 0.0  # s, monotonic: clients connect until then even if it is stopping
         self.paths = [self.folder / f"gateway{index}.json", self.folder / f"gateway{index}.log"]
         self.tasks: set[asyncio.Task[None]] = set()
 
--- a/testbed/soak/plan.py
+++ b/testbed/soak/plan.py
@@ -7,8 +7,8 @@
 from enum import Enum
 
 CLIENT_TIMEOUTS_S = (0.7, 1.2, 2.0, 3.0)  # the longest that a client of a run waits
-MAX_KILL_TIMEOUT_S = 3.0  # longer client timeouts do not delay the kill of a planned restart further
-KILL_MARGIN_S = 0.7  # from that timeout, counted from SIGTERM, to the earliest time of the kill
+MAX_KILL_TIMEOUT_S = 3.0  # a longer client timeout does not delay the kill in a planned restart any more
+KILL_MARGIN_S = 0.7  # after that timeout, counted from SIGTERM, until the kill
 FAULT_FREE_START_S = 1.0  # at the start of a run
 MAX_STALL_S = 0.15
 FLOOD_SHARE = 0.3  # of the runs that have a connection flood
--- a/testbed/soak/run.py
+++ b/testbed/soak/run.py
@@ -17,10 +17,11 @@
 from testbed.standins.discovery import Agent, ListedHost, Registry
 from testbed.standins.hosts import MAX_SERVICE_TIME_S, MIN_SERVICE_TIME_S, Arrival, Host, HostMode
 
-ENTRY_GATEWAYS = 12  # of each customer; most of them do not run, so the shared bucket decides
+ENTRY_GATEWAYS = 12  # of each customer; most of them do not run, so that the shared bucket decides
 COUNTER_TIMEOUT_S = 0.05  # of the gateways' calls to the counter
 MAX_COUNTER_DELAY_S = 0.03  # of a faulty counter
 CERTAIN_REPLY_TIME_S = 0.04  # a call answered sooner has certainly not timed out
+# Outcomes that the calling gateway knows, drawn evenly.
 CERTAIN_OUTCOMES = [CallOutcome.ADDED, CallOutcome.REJECTED, CallOutcome.REJECTED]
 KEY_TTL_S = 5.0  # for which hosts remember idempotency keys
 POLL_INTERVAL_S = 0.01  # between checks of the gateways, and of how late the event loop is
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,7 +1,7 @@
-"""The soak itself: plans by their seeds, the command, and a few short runs of real gateways.
+"""The soak test: its plans, its command and a few short runs with real gateways.
 
-The long soak is started by hand (README). A run that fails here keeps its record and logs in pytest's folder;
-its seed and seconds play it again.
+Longer runs are started by hand. A run that fails here leaves its record and logs in pytest's temporary
+directory; `python -m testbed.soak` repeats it with the same seed and seconds.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
     build()
 
 
-def test_a_seed_draws_the_same_run_again_and_all_troubles_come() -> None:
+def test_the_same_seed_draws_the_same_plan_and_all_faults_occur() -> None:
     plans = [draw_plan(seed, 8.0) for seed in range(60)]
     assert plans == [draw_plan(seed, 8.0) for seed in range(60)]
     events = [event for plan in plans for event in plan.events]
@@ -36,10 +36,10 @@
     assert all(event.duration <= MAX_STALL_S for event in events if event.fault is Fault.STALL)
     assert all(
         event.target != 0 for event in events if event.fault in (Fault.RESTART, Fault.KILL)
-    )  # its books are checked to the unit
+    )  # gateway 0 must run throughout, as its units on the counter are checked
 
 
-def test_a_planned_restart_is_killed_at_the_earliest_moment() -> None:
+def test_the_kill_in_a_planned_restart_comes_as_early_as_allowed() -> None:
     assert {round(plan.kill_after, 3) for plan in (draw_plan(seed, 8.0) for seed in range(60))} == {
         1.4,
         1.9,
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_real_gateways_keep_all_rules(tmp_path: Path, seed: int) -> None:
+def test_real_gateways_violate_no_rule(tmp_path: Path, seed: int) -> None:
     result = run_seed(seed, SECONDS, tmp_path / str(seed))
     assert result.failure is None
     assert result.answers > 100 and result.starts >= 3
@@ -57,13 +57,13 @@
 
 
 @pytest.mark.parametrize("options", [["--seeds", "0"], ["--seconds", "x"], ["--jobs", "99"], ["--no-such"]])
-def test_a_wrong_option_gets_one_line(options: list[str]) -> None:
+def test_a_wrong_option_is_reported_in_one_line(options: list[str]) -> None:
     result = subprocess.run([*COMMAND, *options], cwd=ROOT, capture_output=True, text=True, check=False)
     assert result.returncode == 2
     assert result.stderr.startswith("soak: ") and result.stderr.count("\n") == 1
 
 
-def test_an_interrupt_ends_what_was_started_and_keeps_what_was_seen(tmp_path: Path) -> None:
+def test_an_interrupt_stops_the_run_and_keeps_its_record(tmp_path: Path) -> None:
     command = [*COMMAND, "--seconds", "60", "--records", str(tmp_path)]
     process = subprocess.Popen(command, cwd=ROOT, stdout=subprocess.PIPE, text=True)
     log = tmp_path / "1/gateway2.log"
