--- a/testbed/quota/__main__.py
+++ b/testbed/quota/__main__.py
@@ -11,24 +11,24 @@
 
 import click
 
-from testbed.quota.grid import DEFAULT_SITE, EXCESS_COSTS, Choices, Kind, kinds
-from testbed.quota.plays import Play, mean_figures, play_all
-from testbed.quota.report import DayFigures
+from testbed.quota.grid import DEFAULT_SITE, EXCESS_COSTS, GridAxes, Scenario, scenarios
+from testbed.quota.plays import RunSpec, mean_figures, simulate_all
+from testbed.quota.report import RunFigures
 from testbed.quota.site import Range, SiteError
-from testbed.quota.variation import CounterKind, Variation
+from testbed.quota.variation import CounterKind, SiteOverrides
 
 DEFAULT_PROCESSES = 3
 ON_OFF = click.Choice(["on", "off"])
-COUNTERS = click.Choice([kind.value for kind in CounterKind])
+COUNTER_KINDS = click.Choice([kind.value for kind in CounterKind])
 
 
 @dataclass(frozen=True, slots=True)
-class PlayedDay:
+class RunResult:
     """A day that was played to its end."""
 
     kind: str
     seed: int
-    figures: DayFigures
+    figures: RunFigures
 
 
 class InputError(click.ClickException):
@@ -48,7 +48,7 @@
 @click.option("--seeds", type=click.IntRange(1), default=1, show_default=True, help="Days to play.")
 @click.option("--gateways", type=click.IntRange(1), default=200, show_default=True)
 @click.option("--seconds", type=click.FloatRange(1.0), default=22.0, show_default=True, help="Of a day.")
-@click.option("--counter", type=COUNTERS, help="In place of the site's own.")
+@click.option("--counter", type=COUNTER_KINDS, help="In place of the site's own.")
 @click.option("--meter", type=ON_OFF, help="In place of the site's own.")
 @click.option("--sets", type=(float, float), metavar="LOW HIGH", help="Set sizes, as shares of the gateways.")
 @click.option("--excess-cost", type=click.FloatRange(0.0), help="Cost beyond quotas, times the worth.")
@@ -70,16 +70,16 @@
     json_file: Path | None,
 ) -> None:
     """Plays days of the deployment in the file SITE and prints a line for each, then the means."""
-    variation = Variation(
+    overrides = SiteOverrides(
         counter=CounterKind(counter) if counter else None,
-        meter=_as_flag(meter),
-        sets=_set_sizes(sets),
+        meter=_parse_on_off(meter),
+        entry_share=_parse_share_range(sets),
         excess_cost=excess_cost,
-        settles_after=_as_flag(settled_after),
+        post_paid=_parse_on_off(settled_after),
     )
-    plays = [Play(site, seed + i, gateways, seconds, variation) for i in range(seeds)]
-    days = _play_and_print([(Kind(site.stem, variation), plays)], processes)
-    _write_json(json_file, days)
+    specs = [RunSpec(site, seed + i, gateways, seconds, overrides) for i in range(seeds)]
+    results = _simulate_and_print([(Scenario(site.stem, overrides), specs)], processes)
+    _write_json(json_file, results)
 
 
 @main.command("grid")
@@ -90,7 +90,7 @@
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True, help="Seed of the first day.")
 @click.option("--gateways", type=click.IntRange(1), default=40, show_default=True)
 @click.option("--seconds", type=click.FloatRange(1.0), default=8.0, show_default=True, help="Of a day.")
-@click.option("--counter", "counters", type=COUNTERS, multiple=True, help="Only these kinds.")
+@click.option("--counter", "counters", type=COUNTER_KINDS, multiple=True, help="Only these kinds.")
 @click.option("--meter", type=ON_OFF, help="Only with or only without.")
 @click.option("--sets", type=click.Choice(["small", "wide"]), help="Only these sizes.")
 @click.option("--excess-cost", "costs", type=click.FloatRange(0.0), multiple=True, help="Only these costs.")
@@ -112,60 +112,62 @@
     json_file: Path | None,
 ) -> None:
     """Plays days of each kind of deployment and prints the means of each kind."""
-    every = Choices()
-    choices = replace(
-        every,
-        counters=tuple(CounterKind(name) for name in counters) or every.counters,
-        meters=every.meters if meter is None else (meter == "on",),
-        wide=every.wide if sets is None else (sets == "wide",),
+    all_axes = GridAxes()
+    axes = replace(
+        all_axes,
+        counters=tuple(CounterKind(name) for name in counters) or all_axes.counters,
+        meters=all_axes.meters if meter is None else (meter == "on",),
+        wide_sets=all_axes.wide_sets if sets is None else (sets == "wide",),
         excess_costs=costs or EXCESS_COSTS,
-        settling=every.settling if settled_after is None else (settled_after == "on",),
+        post_paid=all_axes.post_paid if settled_after is None else (settled_after == "on",),
     )
-    wanted = [
-        (kind, [Play(site, seed + i, gateways, seconds, kind.variation) for i in range(draws)])
-        for kind in kinds(choices)
+    planned = [
+        (scenario, [RunSpec(site, seed + i, gateways, seconds, scenario.overrides) for i in range(draws)])
+        for scenario in scenarios(axes)
     ]
-    days = _play_and_print(wanted, processes, each_day=False)
-    _write_json(json_file, days)
+    results = _simulate_and_print(planned, processes, print_each_run=False)
+    _write_json(json_file, results)
 
 
-def _play_and_print(
-    wanted: list[tuple[Kind, list[Play]]], processes: int, each_day: bool = True
-) -> list[PlayedDay]:
+def _simulate_and_print(
+    planned: list[tuple[Scenario, list[RunSpec]]], processes: int, print_each_run: bool = True
+) -> list[RunResult]:
     """Plays all days; an interrupt ends it early and keeps what was played."""
-    played: list[PlayedDay] = []
-    total = sum(len(plays) for _, plays in wanted)
-    days = _named_days(wanted, processes)
+    finished: list[RunResult] = []
+    total_runs = sum(len(specs) for _, specs in planned)
+    results = _run_results(planned, processes)
     try:
-        for kind, plays in wanted:
-            of_kind: list[PlayedDay] = []
+        for scenario, specs in planned:
+            scenario_results: list[RunResult] = []
             try:
-                for day in itertools.islice(days, len(plays)):
-                    of_kind.append(day)
-                    if each_day:
-                        click.echo(f"seed {day.seed:<5} {_line(day.figures)}")
+                for result in itertools.islice(results, len(specs)):
+                    scenario_results.append(result)
+                    if print_each_run:
+                        click.echo(f"seed {result.seed:<5} {_figures_line(result.figures)}")
             finally:
-                played += of_kind
-                if of_kind:
-                    name = f"mean of {len(of_kind)}" if each_day else kind.name
-                    click.echo(f"{name:10} {_line(mean_figures(day.figures for day in of_kind))}")
+                finished += scenario_results
+                if scenario_results:
+                    name = f"mean of {len(scenario_results)}" if print_each_run else scenario.name
+                    click.echo(
+                        f"{name:10} {_figures_line(mean_figures(r.figures for r in scenario_results))}"
+                    )
     except KeyboardInterrupt:
-        click.echo(f"interrupted: {len(played)} of {total} days played", err=True)
+        click.echo(f"interrupted: {len(finished)} of {total_runs} runs finished", err=True)
     except SiteError as error:
         raise InputError(str(error)) from error
     finally:
-        days.close()
-    return played
+        results.close()
+    return finished
 
 
-def _named_days(wanted: list[tuple[Kind, list[Play]]], processes: int) -> Generator[PlayedDay]:
-    plays = [(kind, play) for kind, plays in wanted for play in plays]
-    figures = play_all((play for _, play in plays), processes)
-    for (kind, play), of_day in zip(plays, figures, strict=True):
-        yield PlayedDay(kind.name, play.seed, of_day)
+def _run_results(planned: list[tuple[Scenario, list[RunSpec]]], processes: int) -> Generator[RunResult]:
+    specs = [(scenario, spec) for scenario, specs in planned for spec in specs]
+    figures = simulate_all((spec for _, spec in specs), processes)
+    for (scenario, spec), run_figures in zip(specs, figures, strict=True):
+        yield RunResult(scenario.name, spec.seed, run_figures)
 
 
-def _line(figures: DayFigures) -> str:
+def _figures_line(figures: RunFigures) -> str:
     plans = " ".join(f"{share:.3f}" for share in figures.served_by_plan)
     return (
         f"over_quota {figures.over_quota:.4f}  served {figures.served:.3f}  "
@@ -175,23 +177,23 @@
     )
 
 
-def _write_json(json_file: Path | None, days: list[PlayedDay]) -> None:
+def _write_json(json_file: Path | None, results: list[RunResult]) -> None:
     if json_file is None:
         return
     try:
-        json_file.write_text(json.dumps([asdict(day) for day in days], indent=1) + "\n")
+        json_file.write_text(json.dumps([asdict(result) for result in results], indent=1) + "\n")
     except OSError as error:
         raise InputError(f"{json_file}: {error.strerror}") from error
 
 
-def _as_flag(given: str | None) -> bool | None:
-    return None if given is None else given == "on"
+def _parse_on_off(value: str | None) -> bool | None:
+    return None if value is None else value == "on"
 
 
-def _set_sizes(given: tuple[float, float] | None) -> Range | None:
-    if given is None:
+def _parse_share_range(value: tuple[float, float] | None) -> Range | None:
+    if value is None:
         return None
-    low, high = given
+    low, high = value
     if not 0 <= low <= high <= 1:
         raise InputError(f"--sets {low} {high}: LOW and HIGH are shares from 0 to 1, in this order")
     return Range(low, high)
--- a/testbed/quota/deployment.py
+++ b/testbed/quota/deployment.py
@@ -14,29 +14,33 @@
 import numpy as np
 
 from coralvale import interface as api
-from testbed.quota.customers import TICK, Customer, CustomerDraw
-from testbed.quota.draws import Draw
+from testbed.quota.customers import DEMAND_STEP_S, Customer, CustomerBuilder
+from testbed.quota.draws import RandomStream
 from testbed.quota.site import Range, Section, SiteError, read_site
 from testbed.quota.units import UNIT_RULES, RequestUnits, draw_units
-from testbed.quota.variation import Variation
-
-TRIES = Range(3.2, 6.5)  # first tries a second and gateway inside the quotas
-CUSTOMERS = Range(3.2, 4.4)  # for each gateway; all rates of a large fleet are scaled to give so many
-INSIDE_USE = 0.55  # mean demand inside the quota, over the rate
-CAPACITY_PER_GATEWAY = Range(0.02, 0.034)  # by which the counter's calls a second grow with each gateway
-COUNTER_QUEUE = Range(0.4, 3.0)  # longest line at a part of the counter, in time-outs
-METER_PERIOD = Range(1.0, 1.0)  # s
-METER_DELAY = Range(200.0, 1500.0)  # ms
-GUESS_SPREAD = Range(0.3, 0.7)  # sigma of the logarithm of guess over true units
-ELSEWHERE = Range(0.0, 0.8)  # share of the retries that another gateway of the set gets
-OPEN_FACTOR = Range(1.5, 2.5)  # limit of attempts at once, over what the rate keeps out on idle hosts
-LEAST_OPEN = 2
-COLD_SHARE = 0.2  # capacity of a host that has just started; no host of the model does
+from testbed.quota.variation import SiteOverrides
+
+FIRST_TRY_RATE = Range(3.2, 6.5)  # first tries a second and gateway inside the quotas
+CUSTOMERS_PER_GATEWAY = Range(
+    3.2, 4.4
+)  # for each gateway; all rates of a large fleet are scaled to give so many
+MEAN_DEMAND_WITHIN_QUOTA = 0.55  # mean demand inside the quota, over the rate
+COUNTER_CAPACITY_PER_GATEWAY = Range(
+    0.02, 0.034
+)  # by which the counter's calls a second grow with each gateway
+COUNTER_QUEUE_LIMIT = Range(0.4, 3.0)  # longest line at a part of the counter, in time-outs
+METER_PERIOD_S = Range(1.0, 1.0)  # s
+METER_DELAY_MS = Range(200.0, 1500.0)  # ms
+ESTIMATE_SIGMA = Range(0.3, 0.7)  # sigma of the logarithm of guess over true units
+RETRY_ELSEWHERE_SHARE = Range(0.0, 0.8)  # share of the retries that another gateway of the set gets
+OPEN_LIMIT_FACTOR = Range(1.5, 2.5)  # limit of attempts at once, over what the rate keeps out on idle hosts
+MIN_OPEN_LIMIT = 2
+COLD_CAPACITY = 0.2  # capacity of a host that has just started; no host of the model does
 CEILING_SLACK = 0.1  # of the ceiling's burst
-SERVICE_SPREAD = 0.4  # sigma of the logarithm of a host's service time
+SERVICE_TIME_SIGMA = 0.4  # sigma of the logarithm of a host's service time
 ZONES = 4  # zones of a large fleet; the counter stands in the first
 BACKOFFS = ("none", "fixed", "exp")
-LEAST_BACKOFF = 0.001  # s from a refusal to the next try where clients do not wait
+IMMEDIATE_RETRY_DELAY_S = 0.001  # s from a refusal to the next try where clients do not wait
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,68 +49,68 @@
 
     at: float
     customer: Customer
-    cls: int
-    units: float  # true units
-    named: float  # units that the request names: a guess where they are settled afterwards
+    class_index: int
+    true_units: float  # true units
+    estimated_units: float  # units that the request names: a guess where they are settled afterwards
 
 
 @dataclass(frozen=True, slots=True)
-class CounterService:
+class CounterParameters:
     """The shared counter: parts, calls a second in all, and its times in seconds."""
 
-    parts: int
+    shards: int
     calls_per_second: float
     delay: float
-    longest_queue: float
+    queue_limit: float
     timeout: float
 
 
 @dataclass(frozen=True, slots=True)
-class Clients:
+class ClientBehaviour:
     """How clients behave after a refusal; times in seconds."""
 
-    retries: int
-    honours_advice: float
+    max_retries: int
+    retry_after_share: float
     backoff: str
     backoff_time: float
-    try_share: float
-    elsewhere: float
-    marks_retry: bool
+    min_timeout_share: float
+    elsewhere_share: float
+    marks_retries: bool
 
-    def retry_wait(self, number: int, advice: float, random: Random) -> float | None:
+    def retry_delay(self, retry_number: int, retry_after: float, random: Random) -> float | None:
         """Seconds until a client whose try `number` was refused comes again, None if it does not."""
-        if number >= self.retries:
+        if retry_number >= self.max_retries:
             return None
-        if advice and random.random() < self.honours_advice:
-            return advice
+        if retry_after and random.random() < self.retry_after_share:
+            return retry_after
         if self.backoff == "none":
-            return LEAST_BACKOFF
+            return IMMEDIATE_RETRY_DELAY_S
         if self.backoff == "exp":
-            return self.backoff_time * 2.0**number
+            return self.backoff_time * 2.0**retry_number
         return self.backoff_time
 
 
 @dataclass(slots=True)
-class Day:
+class Deployment:
     """All that a simulated day needs; gateways are only told what is in `settings`. Times in seconds."""
 
-    length: float
+    duration: float
     seed: int
     plans: tuple[api.Plan, ...]
     classes: tuple[api.RequestClass, ...]
     class_shares: list[float]
     class_units: list[RequestUnits]
-    work: list[float]
+    mean_service_times: list[float]
     settings: list[api.Settings]
     customers: list[Customer]
-    clients: Clients
-    counter: CounterService
-    settles_after: bool
-    guess_spread: float
+    clients: ClientBehaviour
+    counter: CounterParameters
+    post_paid: bool
+    estimate_sigma: float
     meter_period: float
     meter_delay: float
-    near_trip: float
-    far_trip: float
+    same_zone_delay: float
+    cross_zone_delay: float
 
     @property
     def mean_units(self) -> float:
@@ -118,141 +122,152 @@
         generator = np.random.default_rng(self.seed)
         mean_units = self.mean_units
         for customer in self.customers:
-            counts = generator.poisson(customer.demand * TICK / mean_units)
-            for step in np.flatnonzero(counts):
-                for _ in range(int(counts[step])):
+            request_counts = generator.poisson(customer.demand * DEMAND_STEP_S / mean_units)
+            for step in np.flatnonzero(request_counts):
+                for _ in range(int(request_counts[step])):
                     yield self._arrival(generator, customer, int(step))
 
     def _arrival(self, generator: np.random.Generator, customer: Customer, step: int) -> Arrival:
-        cls = int(generator.choice(len(self.classes), p=self.class_shares))
-        units = float(self.class_units[cls].draw(generator))
-        named = units
-        if self.settles_after:
-            guess = round(units * float(generator.lognormal(0.0, self.guess_spread)))
-            named = min(self.settings[0].max_units, max(1.0, float(guess)))
-        at = (step + float(generator.random())) * TICK
-        return Arrival(at, customer, cls, units, named)
-
-    def patience(self, cls: int, random: Random) -> float:
+        class_index = int(generator.choice(len(self.classes), p=self.class_shares))
+        true_units = float(self.class_units[class_index].sample(generator))
+        estimated_units = true_units
+        if self.post_paid:
+            estimate = round(true_units * float(generator.lognormal(0.0, self.estimate_sigma)))
+            estimated_units = min(self.settings[0].max_units, max(1.0, float(estimate)))
+        at = (step + float(generator.random())) * DEMAND_STEP_S
+        return Arrival(at, customer, class_index, true_units, estimated_units)
+
+    def client_timeout(self, class_index: int, random: Random) -> float:
         """Seconds that a client waits for one try."""
-        return self.classes[cls].timeout * random.uniform(self.clients.try_share, 1.0)
+        return self.classes[class_index].timeout * random.uniform(self.clients.min_timeout_share, 1.0)
 
-    def service_time(self, cls: int, random: Random) -> float:
+    def service_time(self, class_index: int, random: Random) -> float:
         """Seconds that a host takes for an attempt."""
-        return self.work[cls] * random.lognormvariate(0.0, SERVICE_SPREAD)
+        return self.mean_service_times[class_index] * random.lognormvariate(0.0, SERVICE_TIME_SIGMA)
 
-    def counter_trip(self, gateway: int) -> float:
+    def counter_round_trip(self, gateway: int) -> float:
         """Seconds from a gateway to the counter and back."""
-        return 2 * (self.near_trip if self.settings[gateway].zone == 0 else self.far_trip)
+        return 2 * (self.same_zone_delay if self.settings[gateway].zone == 0 else self.cross_zone_delay)
 
 
-def draw_day(
+def draw_deployment(
     site_file: Path,
     seed: int,
     gateways: int = 200,
-    variation: Variation | None = None,
-    length: float = 22.0,
-) -> Day:
+    overrides: SiteOverrides | None = None,
+    duration: float = 22.0,
+) -> Deployment:
     """Draws a day of `length` seconds for a fleet of `gateways`; SiteError names a mistake in the file."""
-    site = (variation or Variation()).applied(read_site(site_file))
+    site = (overrides or SiteOverrides()).apply_to(read_site(site_file))
     try:
-        return _DayDraw(site, seed, gateways, length).day()
+        return _DeploymentBuilder(site, seed, gateways, duration).build()
     except api.SettingsError as error:
         raise SiteError(f"{site_file.name}: {error}") from error
 
 
-class _DayDraw:
+class _DeploymentBuilder:
     """Draws the parts of a day one after the other."""
 
-    def __init__(self, site: Section, seed: int, gateways: int, length: float) -> None:
+    def __init__(self, site: Section, seed: int, gateways: int, duration: float) -> None:
         self.site = site
-        self.quota = site.section("fam")
+        self.quota_section = site.section("fam")
         self.seed = seed
         self.gateways = gateways
-        self.length = length
+        self.duration = duration
         self._check_plans()
         self._draw_classes()
-        self.load = Draw(seed, "load").within(TRIES) * gateways * self.mean_units
-        self.plans = self._plans()
-        self.clients = self._clients()
-        self.counter = self._counter()
+        self.total_load = RandomStream(seed, "load").uniform(FIRST_TRY_RATE) * gateways * self.mean_units
+        self.plans = self._draw_plans()
+        self.clients = self._draw_clients()
+        self.counter = self._draw_counter()
 
-    def day(self) -> Day:
+    def build(self) -> Deployment:
         """The whole day."""
-        net = Draw(self.seed, "net")
-        meter = Draw(self.seed, "meter")
-        period = meter.within(self.quota.range("meter_s", METER_PERIOD))
-        metered = self.quota.flag("meter")
-        settles = "after" in self.quota.options("units", UNIT_RULES)
-        customer_draw = CustomerDraw(self.site, self.plans, self.most_units, self.gateways, self.length)
-        base = self._settings(period if metered else 0.0, settles)
-        return Day(
-            length=self.length,
+        net_stream = RandomStream(self.seed, "net")
+        meter_stream = RandomStream(self.seed, "meter")
+        meter_period = meter_stream.uniform(self.quota_section.range("meter_s", METER_PERIOD_S))
+        has_meter = self.quota_section.flag("meter")
+        post_paid = "after" in self.quota_section.options("units", UNIT_RULES)
+        customer_builder = CustomerBuilder(
+            self.site, self.plans, self.max_units, self.gateways, self.duration
+        )
+        base_settings = self._base_settings(meter_period if has_meter else 0.0, post_paid)
+        return Deployment(
+            duration=self.duration,
             seed=self.seed,
             plans=self.plans,
             classes=self.classes,
             class_shares=self.class_shares,
             class_units=self.class_units,
-            work=self.work,
-            settings=[replace(base, index=i, zone=i % ZONES) for i in range(self.gateways)],
-            customers=customer_draw.customers(self.seed, self.load),
+            mean_service_times=self.mean_service_times,
+            settings=[replace(base_settings, index=i, zone=i % ZONES) for i in range(self.gateways)],
+            customers=customer_builder.customers(self.seed, self.total_load),
             clients=self.clients,
             counter=self.counter,
-            settles_after=settles,
-            guess_spread=meter.within(self.quota.range("guess_cv", GUESS_SPREAD)),
-            meter_period=base.meter_period,
-            meter_delay=meter.within(self.quota.range("meter_late_ms", METER_DELAY)) / 1000,
-            near_trip=net.within(self.site.section("net").range("same_ms")) / 1000,
-            far_trip=net.within(self.site.section("net").range("cross_ms")) / 1000,
+            post_paid=post_paid,
+            estimate_sigma=meter_stream.uniform(self.quota_section.range("guess_cv", ESTIMATE_SIGMA)),
+            meter_period=base_settings.meter_period,
+            meter_delay=meter_stream.uniform(self.quota_section.range("meter_late_ms", METER_DELAY_MS))
+            / 1000,
+            same_zone_delay=net_stream.uniform(self.site.section("net").range("same_ms")) / 1000,
+            cross_zone_delay=net_stream.uniform(self.site.section("net").range("cross_ms")) / 1000,
         )
 
     def _check_plans(self) -> None:
-        plans = len(self.quota.sections("plan"))
+        plans = len(self.quota_section.sections("plan"))
         tenants = len(self.site.sections("tenant"))
         if plans != tenants:
-            self.quota.fail("plan", f"{plans} plans for {tenants} tenants")
+            self.quota_section.fail("plan", f"{plans} plans for {tenants} tenants")
 
     def _draw_classes(self) -> None:
-        draw = Draw(self.seed, "classes")
+        stream = RandomStream(self.seed, "classes")
         sections = self.site.sections("class")
-        shares = [draw.within(section.positive_range("share")) for section in sections]
+        shares = [stream.uniform(section.positive_range("share")) for section in sections]
         self.class_shares = [share / sum(shares) for share in shares]
-        self.work = [draw.within(section.positive_range("work_ms")) / 1000 for section in sections]
-        self.class_units = draw_units(self.site, self.work, draw)
+        self.mean_service_times = [
+            stream.uniform(section.positive_range("work_ms")) / 1000 for section in sections
+        ]
+        self.class_units = draw_units(self.site, self.mean_service_times, stream)
         self.mean_units = _mean_units(self.class_shares, self.class_units)
-        self.most_units = float(max(units.most for units in self.class_units))
+        self.max_units = float(max(units.maximum for units in self.class_units))
         self.classes = tuple(_request_class(section) for section in sections)
 
-    def _plans(self) -> tuple[api.Plan, ...]:
-        draw = Draw(self.seed, "plans")
+    def _draw_plans(self) -> tuple[api.Plan, ...]:
+        stream = RandomStream(self.seed, "plans")
         tenants = self.site.sections("tenant")
-        sections = self.quota.sections("plan")
-        rates = self._scaled([draw.within(section.positive_range("rate")) for section in sections])
+        sections = self.quota_section.sections("plan")
+        rates = self._scaled_rates([stream.uniform(section.positive_range("rate")) for section in sections])
         return tuple(
-            self._plan(tenant.text("name"), section, rate, draw)
+            self._draw_plan(tenant.text("name"), section, rate, stream)
             for tenant, section, rate in zip(tenants, sections, rates, strict=True)
         )
 
-    def _scaled(self, rates: list[float]) -> list[float]:
+    def _scaled_rates(self, rates: list[float]) -> list[float]:
         """Rates (units a second) with which the load comes from as many customers as a large fleet has."""
         shares = [tenant.positive_range("share").high for tenant in self.site.sections("tenant")]
-        loads = [self.load * share for share in shares]
-        expected = sum(load / (INSIDE_USE * rate) for load, rate in zip(loads, rates, strict=True))
-        wanted = Draw(self.seed, "scale").within(CUSTOMERS) * self.gateways
-        return [rate * expected / wanted for rate in rates]
+        plan_loads = [self.total_load * share for share in shares]
+        expected_customers = sum(
+            plan_load / (MEAN_DEMAND_WITHIN_QUOTA * rate)
+            for plan_load, rate in zip(plan_loads, rates, strict=True)
+        )
+        target_customers = RandomStream(self.seed, "scale").uniform(CUSTOMERS_PER_GATEWAY) * self.gateways
+        return [rate * expected_customers / target_customers for rate in rates]
 
-    def _plan(self, name: str, section: Section, rate: float, draw: Draw) -> api.Plan:
+    def _draw_plan(self, name: str, section: Section, rate: float, stream: RandomStream) -> api.Plan:
         (limits,) = section.options("limits", ("rate", "open", "both"), "rate")
-        ceiling = draw.within(section.range("ceiling", Range(0.0, 0.0)))
-        least = (4 if ceiling else 2) * self.most_units
-        burst = max(least, rate * draw.within(section.range("burst_s")))
+        ceiling_factor = stream.uniform(section.range("ceiling", Range(0.0, 0.0)))
+        min_burst = (4 if ceiling_factor else 2) * self.max_units
+        burst = max(min_burst, rate * stream.uniform(section.range("burst_s")))
         open_limit = 0.0
         if limits != "rate":
-            work = sum(share * work for share, work in zip(self.class_shares, self.work, strict=True))
-            kept_out = rate / self.mean_units * work
-            factor = draw.within(section.range("open", OPEN_FACTOR))
-            open_limit = float(max(LEAST_OPEN, math.ceil(factor * kept_out)))
-        slack = self.quota.number("slack", CEILING_SLACK)
+            mean_service_time = sum(
+                share * service_time
+                for share, service_time in zip(self.class_shares, self.mean_service_times, strict=True)
+            )
+            mean_open_attempts = rate / self.mean_units * mean_service_time
+            factor = stream.uniform(section.range("open", OPEN_LIMIT_FACTOR))
+            open_limit = float(max(MIN_OPEN_LIMIT, math.ceil(factor * mean_open_attempts)))
+        slack_share = self.quota_section.number("slack", CEILING_SLACK)
         return api.Plan(
             name=name,
             rate=0.0 if limits == "open" else rate,
@@ -261,62 +276,65 @@
             price=section.number("price", 1.0),
             excess_worth=section.number("over_worth", 0.0),
             excess_cost=section.number("over_cost", 0.5),
-            ceiling_rate=ceiling * rate,
-            ceiling_burst=ceiling * burst,
-            ceiling_slack=max(slack * ceiling * burst, self.most_units) if ceiling else 0.0,
+            ceiling_rate=ceiling_factor * rate,
+            ceiling_burst=ceiling_factor * burst,
+            ceiling_slack=max(slack_share * ceiling_factor * burst, self.max_units)
+            if ceiling_factor
+            else 0.0,
         )
 
-    def _clients(self) -> Clients:
-        draw = Draw(self.seed, "clients")
+    def _draw_clients(self) -> ClientBehaviour:
+        stream = RandomStream(self.seed, "clients")
         section = self.site.section("clients")
-        return Clients(
-            retries=draw.whole(section.range("retries")),
-            honours_advice=draw.within(section.range("honour", Range(0.0, 0.0))),
-            backoff=draw.pick(section.options("backoff", BACKOFFS, "fixed")),
-            backoff_time=draw.within(section.range("backoff_ms")) / 1000,
-            try_share=draw.within(section.range("try_share", Range(1.0, 1.0))),
-            elsewhere=draw.within(self.quota.range("elsewhere", ELSEWHERE)),
-            marks_retry=section.flag("marks_retry"),
+        return ClientBehaviour(
+            max_retries=stream.uniform_int(section.range("retries")),
+            retry_after_share=stream.uniform(section.range("honour", Range(0.0, 0.0))),
+            backoff=stream.choice(section.options("backoff", BACKOFFS, "fixed")),
+            backoff_time=stream.uniform(section.range("backoff_ms")) / 1000,
+            min_timeout_share=stream.uniform(section.range("try_share", Range(1.0, 1.0))),
+            elsewhere_share=stream.uniform(self.quota_section.range("elsewhere", RETRY_ELSEWHERE_SHARE)),
+            marks_retries=section.flag("marks_retry"),
         )
 
-    def _counter(self) -> CounterService:
-        if not self.quota.flag("counter"):
-            return CounterService(1, 1.0, 0.0, 0.0, 0.0)
-        draw = Draw(self.seed, "counter")
-        timeout = self.quota.number("counter_timeout_ms", 50.0) / 1000
-        calls = draw.within(self.quota.positive_range("counter_per_s"))
-        capacity = draw.within(CAPACITY_PER_GATEWAY) * self.gateways
-        return CounterService(
-            parts=max(1, round(draw.within(self.quota.range("counter_parts", Range(1.0, 3.0))))),
-            calls_per_second=calls * capacity,
-            delay=draw.within(self.quota.range("counter_ms", Range(0.3, 2.0))) / 1000,
-            longest_queue=draw.within(self.quota.range("counter_queue", COUNTER_QUEUE)) * timeout,
+    def _draw_counter(self) -> CounterParameters:
+        if not self.quota_section.flag("counter"):
+            return CounterParameters(1, 1.0, 0.0, 0.0, 0.0)
+        stream = RandomStream(self.seed, "counter")
+        timeout = self.quota_section.number("counter_timeout_ms", 50.0) / 1000
+        base_calls_per_second = stream.uniform(self.quota_section.positive_range("counter_per_s"))
+        capacity_factor = stream.uniform(COUNTER_CAPACITY_PER_GATEWAY) * self.gateways
+        return CounterParameters(
+            shards=max(1, round(stream.uniform(self.quota_section.range("counter_parts", Range(1.0, 3.0))))),
+            calls_per_second=base_calls_per_second * capacity_factor,
+            delay=stream.uniform(self.quota_section.range("counter_ms", Range(0.3, 2.0))) / 1000,
+            queue_limit=stream.uniform(self.quota_section.range("counter_queue", COUNTER_QUEUE_LIMIT))
+            * timeout,
             timeout=timeout,
         )
 
-    def _settings(self, meter_period: float, settles: bool) -> api.Settings:
-        allowed = self.site.section("allow")
-        rules = self.site.section("rules")
-        counts = self.quota.flag("counter")
-        advice = self.site.section("clients").number("max_retry_after_ms", 0.0) / 1000
+    def _base_settings(self, meter_period: float, post_paid: bool) -> api.Settings:
+        allow_section = self.site.section("allow")
+        rules_section = self.site.section("rules")
+        may_count = self.quota_section.flag("counter")
+        max_retry_after = self.site.section("clients").number("max_retry_after_ms", 0.0) / 1000
         return api.Settings(
             gateways=self.gateways,
             zone=0,
             classes=self.classes,
             plans=self.plans,
-            drain_grace=rules.number("drain_grace_ms") / 1000,
-            cold_capacity=COLD_SHARE,
+            drain_grace=rules_section.number("drain_grace_ms") / 1000,
+            cold_capacity=COLD_CAPACITY,
             warm_up_time=0.0,
-            overload_multiple=rules.number("fall_multiple"),
-            overload_window=rules.number("fall_ms") / 1000,
-            max_attempts=max(1, int(allowed.number("max_attempts"))),
-            may_count=counts,
+            overload_multiple=rules_section.number("fall_multiple"),
+            overload_window=rules_section.number("fall_ms") / 1000,
+            max_attempts=max(1, int(allow_section.number("max_attempts"))),
+            may_count=may_count,
             counter_timeout=self.counter.timeout,
             meter_period=meter_period,
-            post_paid=settles,
-            retry_after_allowed=allowed.flag("retry_after"),
-            max_retry_after=advice,
-            max_units=self.most_units,
+            post_paid=post_paid,
+            retry_after_allowed=allow_section.flag("retry_after"),
+            max_retry_after=max_retry_after,
+            max_units=self.max_units,
         )
 
 
@@ -332,4 +350,4 @@
 
 
 def _mean_units(shares: list[float], units: list[RequestUnits]) -> float:
-    return sum(share * of_class.mean for share, of_class in zip(shares, units, strict=True))
+    return sum(share * class_units.mean for share, class_units in zip(shares, units, strict=True))
--- a/testbed/quota/plays.py
+++ b/testbed/quota/plays.py
@@ -10,59 +10,59 @@
 from pathlib import Path
 
 from coralvale import Gateway
-from testbed.quota.deployment import draw_day
-from testbed.quota.report import DayFigures
+from testbed.quota.deployment import draw_deployment
+from testbed.quota.report import RunFigures
 from testbed.quota.simulation import Simulation
-from testbed.quota.variation import Variation
+from testbed.quota.variation import SiteOverrides
 
 
 @dataclass(frozen=True, slots=True)
-class Play:
+class RunSpec:
     """One day to be played, of `length` seconds."""
 
     site: Path
     seed: int
     gateways: int
-    length: float
-    variation: Variation
+    duration: float
+    overrides: SiteOverrides
 
 
-def play(wanted: Play) -> DayFigures:
+def simulate(spec: RunSpec) -> RunFigures:
     """Plays a day with the decision module as it is; SiteError names a mistake in the site file."""
-    day = draw_day(wanted.site, wanted.seed, wanted.gateways, wanted.variation, wanted.length)
-    return Simulation(day, Gateway, wanted.seed).run()
+    deployment = draw_deployment(spec.site, spec.seed, spec.gateways, spec.overrides, spec.duration)
+    return Simulation(deployment, Gateway, spec.seed).run()
 
 
-def play_all(plays: Iterable[Play], processes: int) -> Iterator[DayFigures]:
+def simulate_all(specs: Iterable[RunSpec], processes: int) -> Iterator[RunFigures]:
     """Plays days side by side; figures come in the order of the plays, each as soon as it is known.
 
     Leaving the iteration early ends the processes.
     """
     if processes == 1:
-        yield from map(play, plays)
+        yield from map(simulate, specs)
         return
-    with multiprocessing.Pool(processes, _leave_interrupts_to_parent) as pool:
-        yield from pool.imap(play, plays)
+    with multiprocessing.Pool(processes, _ignore_interrupts) as pool:
+        yield from pool.imap(simulate, specs)
 
 
-def mean_figures(days: Iterable[DayFigures]) -> DayFigures:
+def mean_figures(runs: Iterable[RunFigures]) -> RunFigures:
     """The mean of each figure over several days of one deployment; ValueError if there is none."""
-    found = list(days)
-    if not found:
-        raise ValueError("no day was played")
-    by_plan = zip(*(day.served_by_plan for day in found), strict=True)
-    return DayFigures(
-        over_quota=statistics.fmean(day.over_quota for day in found),
-        served=statistics.fmean(day.served for day in found),
-        refused_with_room=statistics.fmean(day.refused_with_room for day in found),
-        refused=statistics.fmean(day.refused for day in found),
-        tries=round(statistics.fmean(day.tries for day in found)),
-        first_tries=round(statistics.fmean(day.first_tries for day in found)),
-        counter_calls=round(statistics.fmean(day.counter_calls for day in found)),
-        counter_unanswered=statistics.fmean(day.counter_unanswered for day in found),
+    all_figures = list(runs)
+    if not all_figures:
+        raise ValueError("no simulation runs to average")
+    by_plan = zip(*(figures.served_by_plan for figures in all_figures), strict=True)
+    return RunFigures(
+        over_quota=statistics.fmean(figures.over_quota for figures in all_figures),
+        served=statistics.fmean(figures.served for figures in all_figures),
+        refused_with_room=statistics.fmean(figures.refused_with_room for figures in all_figures),
+        refused=statistics.fmean(figures.refused for figures in all_figures),
+        tries=round(statistics.fmean(figures.tries for figures in all_figures)),
+        first_tries=round(statistics.fmean(figures.first_tries for figures in all_figures)),
+        counter_calls=round(statistics.fmean(figures.counter_calls for figures in all_figures)),
+        counter_unanswered=statistics.fmean(figures.counter_unanswered for figures in all_figures),
         served_by_plan=tuple(statistics.fmean(shares) for shares in by_plan),
     )
 
 
-def _leave_interrupts_to_parent() -> None:
+def _ignore_interrupts() -> None:
     signal.signal(signal.SIGINT, signal.SIG_IGN)
--- a/testbed/quota/report.py
+++ b/testbed/quota/report.py
@@ -6,11 +6,11 @@
 from dataclasses import dataclass
 
 from coralvale import interface as api
-from testbed.quota.deployment import Day
-from testbed.quota.services import QuotaStore
-from testbed.quota.tries import Try
+from testbed.quota.deployment import Deployment
+from testbed.quota.services import QuotaBucket
+from testbed.quota.tries import ClientTry
 
-ROOM = 0.5  # share of the burst that has to be unused for a refusal to count as "with room"
+ROOM_SHARE = 0.5  # share of the burst that has to be unused for a refusal to count as "with room"
 
 
 @dataclass(slots=True)
@@ -18,18 +18,18 @@
     """Worth sums of one plan (class worth x plan price x units)."""
 
     offered: float = 0.0
-    inside: float = 0.0
-    beyond: float = 0.0
-    beyond_cost: float = 0.0
+    served_within_quota: float = 0.0
+    excess_served: float = 0.0
+    cost_of_excess: float = 0.0
 
     @property
     def served_share(self) -> float:
         """Worth served over worth offered; nought if none was offered."""
-        return (self.inside + self.beyond) / self.offered if self.offered else 0.0
+        return (self.served_within_quota + self.excess_served) / self.offered if self.offered else 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class DayFigures:
+class RunFigures:
     """Figures of one day. Shares of the worth offered: over_quota, served. Of all tries: the refusals."""
 
     over_quota: float
@@ -52,27 +52,27 @@
     """One gateway that sees all first tries of a customer; it defines what is offered."""
 
     def __init__(self, plan: api.Plan) -> None:
-        self.store = QuotaStore.full(plan)
-        self.ends: list[float] = []
+        self.bucket = QuotaBucket.full(plan)
+        self.end_times: list[float] = []
 
     def admits(self, now: float, units: float, service_time: float) -> bool:
         """Whether a first try, which would take a host `service_time` seconds, is let in."""
-        while self.ends and self.ends[0] <= now:
-            heapq.heappop(self.ends)
-        self.store.open = len(self.ends)
-        if not self.store.take(now, units):
+        while self.end_times and self.end_times[0] <= now:
+            heapq.heappop(self.end_times)
+        self.bucket.open_attempts = len(self.end_times)
+        if not self.bucket.take(now, units):
             return False
-        heapq.heappush(self.ends, now + service_time)
+        heapq.heappush(self.end_times, now + service_time)
         return True
 
 
-class Figures:
+class FigureCollector:
     """Collects what happens to each try and sums it up."""
 
-    def __init__(self, day: Day) -> None:
-        self.day = day
-        self.plans = [PlanFigures() for _ in day.plans]
-        self.references = {c.number: ReferenceGateway(c.plan) for c in day.customers}
+    def __init__(self, deployment: Deployment) -> None:
+        self.deployment = deployment
+        self.plans = [PlanFigures() for _ in deployment.plans]
+        self.reference_gateways = {c.number: ReferenceGateway(c.plan) for c in deployment.customers}
         self.tries = 0
         self.first_tries = 0
         self.refused_count = 0
@@ -80,51 +80,53 @@
         self.counter_calls = 0
         self.counter_unanswered = 0
 
-    def arrived(self, now: float, attempt: Try) -> None:
+    def record_arrival(self, now: float, client_try: ClientTry) -> None:
         """A try has come; a customer's first ones define what is offered."""
         self.tries += 1
-        if attempt.number:
+        if client_try.retry_number:
             return
         self.first_tries += 1
-        plan = attempt.customer.plan
-        reference = self.references[attempt.customer.number]
-        inside = reference.admits(now, attempt.request.units, self.day.work[attempt.request.class_index])
-        share = 1.0 if inside else plan.excess_worth
-        self.plans[attempt.customer.plan_index].offered += share * self._worth(attempt)
+        plan = client_try.customer.plan
+        reference_gateway = self.reference_gateways[client_try.customer.number]
+        admitted = reference_gateway.admits(
+            now, client_try.request.units, self.deployment.mean_service_times[client_try.request.class_index]
+        )
+        share = 1.0 if admitted else plan.excess_worth
+        self.plans[client_try.customer.plan_index].offered += share * self._worth(client_try)
 
-    def sent(self, attempt: Try) -> None:
+    def record_sent(self, client_try: ClientTry) -> None:
         """A try was first sent on, inside or beyond its quota."""
-        if attempt.inside:
+        if client_try.within_quota:
             return
-        cost = attempt.customer.plan.excess_cost * self._worth(attempt)
-        self.plans[attempt.customer.plan_index].beyond_cost += cost
+        cost = client_try.customer.plan.excess_cost * self._worth(client_try)
+        self.plans[client_try.customer.plan_index].cost_of_excess += cost
 
-    def served(self, attempt: Try) -> None:
+    def record_served(self, client_try: ClientTry) -> None:
         """A try was answered."""
-        figures = self.plans[attempt.customer.plan_index]
-        worth = self._worth(attempt)
-        if attempt.inside:
-            figures.inside += worth
+        figures = self.plans[client_try.customer.plan_index]
+        worth = self._worth(client_try)
+        if client_try.within_quota:
+            figures.served_within_quota += worth
         else:
-            figures.beyond += attempt.customer.plan.excess_worth * worth
+            figures.excess_served += client_try.customer.plan.excess_worth * worth
 
-    def refused(self, attempt: Try, level: float) -> None:
+    def record_refused(self, client_try: ClientTry, level: float) -> None:
         """A try was refused while its store held `level` units."""
         self.refused_count += 1
-        if level >= max(ROOM * attempt.customer.plan.burst, attempt.request.units):
+        if level >= max(ROOM_SHARE * client_try.customer.plan.burst, client_try.request.units):
             self.refused_with_room += 1
 
-    def _worth(self, attempt: Try) -> float:
-        worth = self.day.classes[attempt.request.class_index].worth * attempt.customer.plan.price
-        return worth * attempt.request.units
+    def _worth(self, client_try: ClientTry) -> float:
+        worth = self.deployment.classes[client_try.request.class_index].worth * client_try.customer.plan.price
+        return worth * client_try.request.units
 
-    def summary(self) -> DayFigures:
+    def summary(self) -> RunFigures:
         """The day's figures; all nought where nothing was offered."""
         offered = sum(plan.offered for plan in self.plans) or 1.0
         tries = max(self.tries, 1)
-        return DayFigures(
-            over_quota=sum(plan.beyond_cost for plan in self.plans) / offered,
-            served=sum(plan.inside + plan.beyond for plan in self.plans) / offered,
+        return RunFigures(
+            over_quota=sum(plan.cost_of_excess for plan in self.plans) / offered,
+            served=sum(plan.served_within_quota + plan.excess_served for plan in self.plans) / offered,
             refused_with_room=self.refused_with_room / tries,
             refused=self.refused_count / tries,
             tries=self.tries,
--- a/testbed/quota/services.py
+++ b/testbed/quota/services.py
@@ -8,12 +8,12 @@
 
 from coralvale import interface as api
 
-ROUNDING = 1e-9  # units that a store may lack through rounding
-METER_READINGS_KEPT = 64  # periods of a customer that the meter remembers, well past its lateness
+ROUNDING_TOLERANCE = 1e-9  # units that a store may lack through rounding
+METER_PERIODS_KEPT = 64  # periods of a customer that the meter remembers, well past its lateness
 
 
 @dataclass(slots=True)
-class QuotaStore:
+class QuotaBucket:
     """The true token store of one customer over all gateways (units; rate in units a second)."""
 
     rate: float
@@ -21,10 +21,10 @@
     level: float
     open_limit: float = 0.0  # attempts out at once; 0 means no limit
     updated_at: float = 0.0
-    open: int = 0
+    open_attempts: int = 0
 
     @classmethod
-    def full(cls, plan: api.Plan) -> QuotaStore:
+    def full(cls, plan: api.Plan) -> QuotaBucket:
         """The store of a customer of a plan as the day begins."""
         return cls(plan.rate, plan.burst, plan.burst, plan.open_limit)
 
@@ -36,25 +36,25 @@
         """Takes a request's units if the store holds them; says whether the request was inside its quota."""
         self.level = self.level_at(now)
         self.updated_at = now
-        if not self.would_hold(now, units):
+        if not self.allows(now, units):
             return False
         if self.rate:
             self.level -= units
         return True
 
-    def would_hold(self, now: float, units: float) -> bool:
+    def allows(self, now: float, units: float) -> bool:
         """Whether a request of so many units would be inside the quota now."""
-        if self.open_limit and self.open >= self.open_limit:
+        if self.open_limit and self.open_attempts >= self.open_limit:
             return False
-        return not self.rate or self.level_at(now) >= units - ROUNDING
+        return not self.rate or self.level_at(now) >= units - ROUNDING_TOLERANCE
 
-    def settle(self, units: float) -> None:
+    def correct(self, units: float) -> None:
         """Takes the difference between true and guessed units; the level may fall below zero."""
         self.level -= units
 
 
 @dataclass(slots=True)
-class CounterPart:
+class CounterShard:
     """One part of the counter: calls are served in turn by one server with a bounded queue."""
 
     service_time: float
@@ -71,7 +71,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CounterAnswer:
+class CounterResult:
     """When a call is answered (s, on the counter's side) and the total; no total if it was turned away."""
 
     at: float
@@ -81,24 +81,24 @@
 class Counter:
     """Named totals, spread by name over parts that serve `calls_per_second` together (times in seconds)."""
 
-    def __init__(self, parts: int, calls_per_second: float, delay: float, queue_limit: float) -> None:
-        self.parts = [CounterPart(parts / calls_per_second, queue_limit) for _ in range(parts)]
+    def __init__(self, shards: int, calls_per_second: float, delay: float, queue_limit: float) -> None:
+        self.shards = [CounterShard(shards / calls_per_second, queue_limit) for _ in range(shards)]
         self.delay = delay
         self.totals: dict[int, float] = {}
-        self.expiry: dict[int, float] = {}
-        self.turned_away = 0
+        self.expires_at: dict[int, float] = {}
+        self.rejected_calls = 0
 
-    def add(self, now: float, name: int, amount: float, lifetime: float) -> CounterAnswer:
+    def add(self, now: float, name: int, amount: float, lifetime: float) -> CounterResult:
         """Adds an amount to a name, which is forgotten `lifetime` after its first call."""
-        served_at = self.parts[hash(name) % len(self.parts)].serve(now)
+        served_at = self.shards[hash(name) % len(self.shards)].serve(now)
         if served_at is None:
-            self.turned_away += 1
-            return CounterAnswer(now + self.delay, None)
-        if self.expiry.get(name, -math.inf) <= now:
+            self.rejected_calls += 1
+            return CounterResult(now + self.delay, None)
+        if self.expires_at.get(name, -math.inf) <= now:
             self.totals[name] = 0.0
-            self.expiry[name] = now + lifetime
+            self.expires_at[name] = now + lifetime
         self.totals[name] += amount
-        return CounterAnswer(served_at + self.delay, self.totals[name])
+        return CounterResult(served_at + self.delay, self.totals[name])
 
 
 @dataclass(slots=True)
@@ -107,30 +107,32 @@
 
     period: float
     delay: float
-    current: int = 0
-    units: float = 0.0
-    finished: deque[tuple[int, float]] = field(default_factory=lambda: deque(maxlen=METER_READINGS_KEPT))
+    current_period: int = 0
+    current_units: float = 0.0
+    finished_periods: deque[tuple[int, float]] = field(
+        default_factory=lambda: deque(maxlen=METER_PERIODS_KEPT)
+    )
 
-    def note(self, now: float, units: float) -> None:
+    def record(self, now: float, units: float) -> None:
         """Adds units that were sent on now."""
         if not self.period:
             return
-        self._advance(now)
-        self.units += units
+        self._advance_to(now)
+        self.current_units += units
 
     def read(self, now: float, rate: float) -> float:
         """Use in the last period whose sum is known, as a fraction of the rate; nought without a rate."""
         if not rate or not self.period:
             return 0.0
-        self._advance(now)
-        wanted = int((now - self.delay) / self.period) - 1
-        for index, units in reversed(self.finished):
-            if index <= wanted:
-                return units / (rate * self.period) if index == wanted else 0.0
+        self._advance_to(now)
+        period_index = int((now - self.delay) / self.period) - 1
+        for index, units in reversed(self.finished_periods):
+            if index <= period_index:
+                return units / (rate * self.period) if index == period_index else 0.0
         return 0.0
 
-    def _advance(self, now: float) -> None:
+    def _advance_to(self, now: float) -> None:
         index = int(now / self.period)
-        if index != self.current:
-            self.finished.append((self.current, self.units))
-            self.current, self.units = index, 0.0
+        if index != self.current_period:
+            self.finished_periods.append((self.current_period, self.current_units))
+            self.current_period, self.current_units = index, 0.0
--- a/testbed/quota/site.py
+++ b/testbed/quota/site.py
@@ -32,69 +32,69 @@
         value = self.entries.get(name)
         if not isinstance(value, Mapping):
             self.fail(name, "a table is needed")
-        return Section(value, self._path(name))
+        return Section(value, self._entry_path(name))
 
     def sections(self, name: str) -> list[Section]:
         """The tables of that name, at least one; SiteError if there is none."""
         value = self.entries.get(name)
         if not isinstance(value, list) or not value or not all(isinstance(v, Mapping) for v in value):
             self.fail(name, "one table or more is needed")
-        return [Section(v, f"{self._path(name)}[{i}]") for i, v in enumerate(value)]
+        return [Section(v, f"{self._entry_path(name)}[{i}]") for i, v in enumerate(value)]
 
     def range(self, name: str, default: Range | None = None) -> Range:
         """A number or a pair of numbers, none below 0; SiteError if it is missing and has no default."""
         value = self.entries.get(name)
         if value is None and default is not None:
             return default
-        pair = value if isinstance(value, list | tuple) else (value, value)
-        if len(pair) != 2 or not all(_is_number(v) for v in pair):
-            self.fail(name, f"{_shown(value)} is no number and no pair of numbers")
-        low, high = float(pair[0]), float(pair[1])
+        bounds = value if isinstance(value, list | tuple) else (value, value)
+        if len(bounds) != 2 or not all(_is_number(v) for v in bounds):
+            self.fail(name, f"{_describe(value)} is no number and no pair of numbers")
+        low, high = float(bounds[0]), float(bounds[1])
         if not 0 <= low <= high:
-            self.fail(name, f"{_shown(value)} is not a range from 0 up")
+            self.fail(name, f"{_describe(value)} is not a range from 0 up")
         return Range(low, high)
 
     def positive_range(self, name: str) -> Range:
         """A range whose values are all above 0; SiteError if it is missing or holds 0."""
-        found = self.range(name)
-        if found.low <= 0:
-            self.fail(name, f"{_shown(self.entries[name])} has to be above 0")
-        return found
+        value_range = self.range(name)
+        if value_range.low <= 0:
+            self.fail(name, f"{_describe(self.entries[name])} has to be above 0")
+        return value_range
 
     def number(self, name: str, default: float | None = None) -> float:
         """One number, not below 0; SiteError if it is a range, or missing without a default."""
-        found = self.range(name, None if default is None else Range(default, default))
-        if found.low != found.high:
-            self.fail(name, f"{_shown(self.entries[name])} has to be one number")
-        return found.low
+        value_range = self.range(name, None if default is None else Range(default, default))
+        if value_range.low != value_range.high:
+            self.fail(name, f"{_describe(self.entries[name])} has to be one number")
+        return value_range.low
 
     def flag(self, name: str, default: bool = False) -> bool:
         """True or false; SiteError for anything else."""
         value = self.entries.get(name, default)
         if not isinstance(value, bool):
-            self.fail(name, f"{_shown(value)} is neither true nor false")
+            self.fail(name, f"{_describe(value)} is neither true nor false")
         return value
 
     def text(self, name: str) -> str:
         """A text; SiteError for anything else."""
         value = self.entries.get(name)
         if not isinstance(value, str):
-            self.fail(name, f"{_shown(value)} is no text")
+            self.fail(name, f"{_describe(value)} is no text")
         return value
 
-    def options(self, name: str, known: tuple[str, ...], default: str | None = None) -> tuple[str, ...]:
+    def options(self, name: str, allowed: tuple[str, ...], default: str | None = None) -> tuple[str, ...]:
         """One word or a list of words of those known; SiteError for any other."""
         value = self.entries.get(name, default)
-        words = value if isinstance(value, list) else [value]
-        if not words or not all(isinstance(word, str) and word in known for word in words):
-            self.fail(name, f"{_shown(value)} is not of {', '.join(known)}")
-        return tuple(words)
+        options = value if isinstance(value, list) else [value]
+        if not options or not all(isinstance(option, str) and option in allowed for option in options):
+            self.fail(name, f"{_describe(value)} is not of {', '.join(allowed)}")
+        return tuple(options)
 
     def fail(self, name: str, reason: str) -> NoReturn:
         """Raises a SiteError for one entry."""
-        raise SiteError(f"{self._path(name)}: {reason}")
+        raise SiteError(f"{self._entry_path(name)}: {reason}")
 
-    def _path(self, name: str) -> str:
+    def _entry_path(self, name: str) -> str:
         separator = ": " if self.path.endswith(".toml") else "."
         return f"{self.path}{separator}{name}"
 
@@ -113,5 +113,5 @@
     return isinstance(value, int | float) and not isinstance(value, bool) and math.isfinite(value)
 
 
-def _shown(value: object) -> str:
+def _describe(value: object) -> str:
     return "nothing" if value is None else repr(value)
--- a/testbed/quota/tries.py
+++ b/testbed/quota/tries.py
@@ -10,18 +10,18 @@
 
 
 @dataclass(slots=True)
-class Try:
+class ClientTry:
     """One request of a client at one gateway; a client's retry is another."""
 
     request: api.Request
     arrival: Arrival
     gateway: int
-    number: int
+    retry_number: int
     sent: bool = False
-    settled: bool = False
-    inside: bool = False
+    corrected: bool = False
+    within_quota: bool = False
     ended: bool = False
-    attempts: int = 0
+    attempts_sent: int = 0
 
     @property
     def customer(self) -> Customer:
--- a/testbed/quota/variation.py
+++ b/testbed/quota/variation.py
@@ -11,7 +11,7 @@
 COUNTER_DEFAULTS = {"counter_timeout_ms": 30, "counter_parts": [1, 3]}
 GOOD_COUNTER = {"counter_per_s": [600, 820], "counter_ms": [0.35, 1.7]}
 SLOW_COUNTER = {"counter_per_s": [220, 320], "counter_ms": [3, 6], "counter_parts": 1}
-GUESS_DEFAULT = {"guess_cv": [0.3, 0.7]}
+ESTIMATE_DEFAULTS = {"guess_cv": [0.3, 0.7]}
 
 
 class CounterKind(Enum):
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Variation:
+class SiteOverrides:
     """What is changed about a site's own ranges; None leaves the site's.
 
     `sets` is the size of a customer's set as a share of all gateways.
@@ -31,44 +31,44 @@
 
     counter: CounterKind | None = None
     meter: bool | None = None
-    sets: Range | None = None
+    entry_share: Range | None = None
     excess_cost: float | None = None
-    settles_after: bool | None = None
+    post_paid: bool | None = None
 
-    def applied(self, site: Section) -> Section:
+    def apply_to(self, site: Section) -> Section:
         """The site with the changes made; SiteError if it has no quotas or plans."""
-        quota = site.section("fam")
-        changed = dict(quota.entries)
-        changed |= self._counter(changed)
-        changed |= self._meter(changed)
-        changed |= self._settling(changed)
-        changed["plan"] = [self._plan(plan) for plan in quota.sections("plan")]
+        quota_entries = site.section("fam")
+        changed = dict(quota_entries.entries)
+        changed |= self._counter_changes(changed)
+        changed |= self._meter_changes(changed)
+        changed |= self._unit_changes(changed)
+        changed["plan"] = [self._changed_plan(plan) for plan in quota_entries.sections("plan")]
         return Section({**site.entries, "fam": changed}, site.path)
 
-    def _counter(self, quota: dict[str, object]) -> dict[str, object]:
+    def _counter_changes(self, quota_entries: dict[str, object]) -> dict[str, object]:
         if self.counter is None:
             return {}
         if self.counter is CounterKind.NONE:
             return {"counter": False}
-        speed = GOOD_COUNTER if self.counter is CounterKind.GOOD else SLOW_COUNTER
-        own = {name: quota[name] for name in COUNTER_DEFAULTS if name in quota}
-        return {**COUNTER_DEFAULTS, **own, **speed, "counter": True}
+        capacity = GOOD_COUNTER if self.counter is CounterKind.GOOD else SLOW_COUNTER
+        site_values = {name: quota_entries[name] for name in COUNTER_DEFAULTS if name in quota_entries}
+        return {**COUNTER_DEFAULTS, **site_values, **capacity, "counter": True}
 
-    def _meter(self, quota: dict[str, object]) -> dict[str, object]:
+    def _meter_changes(self, quota_entries: dict[str, object]) -> dict[str, object]:
         if self.meter is None:
             return {}
-        own = {name: quota[name] for name in METER_DEFAULTS if name in quota}
-        return {**METER_DEFAULTS, **own, "meter": self.meter}
+        site_values = {name: quota_entries[name] for name in METER_DEFAULTS if name in quota_entries}
+        return {**METER_DEFAULTS, **site_values, "meter": self.meter}
 
-    def _settling(self, quota: dict[str, object]) -> dict[str, object]:
-        if self.settles_after is None or self.settles_after == (quota.get("units") == "after"):
+    def _unit_changes(self, quota_entries: dict[str, object]) -> dict[str, object]:
+        if self.post_paid is None or self.post_paid == (quota_entries.get("units") == "after"):
             return {}
-        return {**GUESS_DEFAULT, "units": "after" if self.settles_after else "size"}
+        return {**ESTIMATE_DEFAULTS, "units": "after" if self.post_paid else "size"}
 
-    def _plan(self, plan: Section) -> dict[str, object]:
+    def _changed_plan(self, plan: Section) -> dict[str, object]:
         changed = dict(plan.entries)
-        if self.sets is not None:
-            changed["spread"] = list(self.sets)
+        if self.entry_share is not None:
+            changed["spread"] = list(self.entry_share)
         if self.excess_cost is not None:
             changed["over_cost"] = self.excess_cost
         return changed
