--- a/testbed/__init__.py
+++ b/testbed/__init__.py
@@ -1,1 +1,1 @@
-"""Tools that measure the gateway's code; the gateway itself never imports them."""
+"""Test and measurement tools for the gateway; the gateway itself never imports them."""
--- a/testbed/quota/__init__.py
+++ b/testbed/quota/__init__.py
@@ -1,6 +1,6 @@
-"""A discrete-event model of a fleet's quotas: the real decision code of every gateway, without sockets.
+"""Discrete-event simulation of quota enforcement by a fleet of gateways, without sockets.
 
-Customers, the front, hosts, the shared counter and the usage meter are simulated; each gateway is one
-instance of the decision module. The model answers how well quotas are held and how much is refused
-without need.
+Each gateway is one instance of the real decision module (`coralvale.Gateway`). Customers, the load balancer
+in front of the gateways, hosts, the shared counter and the usage meter are simulated. The result tells how
+much is admitted in excess of quotas and how much is refused although quota was left.
 """
--- a/testbed/quota/__main__.py
+++ b/testbed/quota/__main__.py
@@ -1,4 +1,4 @@
-"""The command `python -m testbed.quota`: plays days of a deployment, or a grid of deployments."""
+"""The command `python -m testbed.quota`: simulates quota enforcement, for a site file or a grid."""
 
 from __future__ import annotations
 
@@ -24,35 +24,48 @@
 
 @dataclass(frozen=True, slots=True)
 class RunResult:
-    """A day that was played to its end."""
+    """Figures of a finished run, as written to the JSON file."""
 
-    kind: str
+    kind: str  # name of the scenario
     seed: int
     figures: RunFigures
 
 
 class InputError(click.ClickException):
-    """Something given to the command makes no sense; told in one line, with exit code 2."""
+    """An argument or a file is invalid; ends the command with one line and exit code 2."""
 
     exit_code = 2
 
 
 @click.group()
 def main() -> None:
-    """Plays the quotas of a fleet of gateways in simulated time, with the real decision module."""
+    """Simulates the quota enforcement of a fleet of gateways with the real decision module."""
 
 
 @main.command("play")
 @click.argument("site", type=click.Path(path_type=Path))
-@click.option("--seed", type=click.IntRange(0), default=1, show_default=True, help="Seed of the first day.")
-@click.option("--seeds", type=click.IntRange(1), default=1, show_default=True, help="Days to play.")
+@click.option("--seed", type=click.IntRange(0), default=1, show_default=True, help="Seed of the first run.")
+@click.option("--seeds", type=click.IntRange(1), default=1, show_default=True, help="Number of runs.")
 @click.option("--gateways", type=click.IntRange(1), default=200, show_default=True)
-@click.option("--seconds", type=click.FloatRange(1.0), default=22.0, show_default=True, help="Of a day.")
-@click.option("--counter", type=COUNTER_KINDS, help="In place of the site's own.")
-@click.option("--meter", type=ON_OFF, help="In place of the site's own.")
-@click.option("--sets", type=(float, float), metavar="LOW HIGH", help="Set sizes, as shares of the gateways.")
-@click.option("--excess-cost", type=click.FloatRange(0.0), help="Cost beyond quotas, times the worth.")
-@click.option("--settled-after", type=ON_OFF, help="Whether requests name guesses of their units.")
+@click.option(
+    "--seconds", type=click.FloatRange(1.0), default=22.0, show_default=True, help="Simulated time."
+)
+@click.option("--counter", type=COUNTER_KINDS, help="Overrides the site file.")
+@click.option("--meter", type=ON_OFF, help="Overrides the site file.")
+@click.option(
+    "--sets",
+    type=(float, float),
+    metavar="LOW HIGH",
+    help="Share of the gateways that are a customer's entry gateways.",
+)
+@click.option(
+    "--excess-cost",
+    type=click.FloatRange(0.0),
+    help="Cost of a request in excess of its quota, over its worth.",
+)
+@click.option(
+    "--settled-after", type=ON_OFF, help="Whether the units of requests are estimates that responses correct."
+)
 @click.option("--processes", type=click.IntRange(1), default=DEFAULT_PROCESSES, show_default=True)
 @click.option("--json", "json_file", type=click.Path(path_type=Path, dir_okay=False, writable=True))
 def play_command(
@@ -69,7 +82,7 @@
     processes: int,
     json_file: Path | None,
 ) -> None:
-    """Plays days of the deployment in the file SITE and prints a line for each, then the means."""
+    """Simulates runs of the deployment in the file SITE; prints the figures of each run and the means."""
     overrides = SiteOverrides(
         counter=CounterKind(counter) if counter else None,
         meter=_parse_on_off(meter),
@@ -83,18 +96,22 @@
 
 
 @main.command("grid")
+@click.option("--site", type=click.Path(path_type=Path), default=DEFAULT_SITE, help="Site file to use.")
+@click.option("--draws", type=click.IntRange(1), default=2, show_default=True, help="Runs per scenario.")
+@click.option("--seed", type=click.IntRange(0), default=1, show_default=True, help="Seed of the first run.")
+@click.option("--gateways", type=click.IntRange(1), default=40, show_default=True)
+@click.option("--seconds", type=click.FloatRange(1.0), default=8.0, show_default=True, help="Simulated time.")
+@click.option("--counter", "counters", type=COUNTER_KINDS, multiple=True, help="Only these counters.")
+@click.option("--meter", type=ON_OFF, help="Only with, or only without, a meter.")
 @click.option(
-    "--site", type=click.Path(path_type=Path), default=DEFAULT_SITE, help="A site file of one's own."
+    "--sets", type=click.Choice(["small", "wide"]), help="Only small, or only wide, sets of entry gateways."
+)
+@click.option(
+    "--excess-cost", "costs", type=click.FloatRange(0.0), multiple=True, help="Only these excess costs."
+)
+@click.option(
+    "--settled-after", type=ON_OFF, help="Only with, or only without, units corrected by responses."
 )
-@click.option("--draws", type=click.IntRange(1), default=2, show_default=True, help="Days of each kind.")
-@click.option("--seed", type=click.IntRange(0), default=1, show_default=True, help="Seed of the first day.")
-@click.option("--gateways", type=click.IntRange(1), default=40, show_default=True)
-@click.option("--seconds", type=click.FloatRange(1.0), default=8.0, show_default=True, help="Of a day.")
-@click.option("--counter", "counters", type=COUNTER_KINDS, multiple=True, help="Only these kinds.")
-@click.option("--meter", type=ON_OFF, help="Only with or only without.")
-@click.option("--sets", type=click.Choice(["small", "wide"]), help="Only these sizes.")
-@click.option("--excess-cost", "costs", type=click.FloatRange(0.0), multiple=True, help="Only these costs.")
-@click.option("--settled-after", type=ON_OFF, help="Only settled afterwards, or only before.")
 @click.option("--processes", type=click.IntRange(1), default=DEFAULT_PROCESSES, show_default=True)
 @click.option("--json", "json_file", type=click.Path(path_type=Path, dir_okay=False, writable=True))
 def grid_command(
@@ -111,7 +128,7 @@
     processes: int,
     json_file: Path | None,
 ) -> None:
-    """Plays days of each kind of deployment and prints the means of each kind."""
+    """Simulates runs of each scenario and prints the means of each scenario."""
     all_axes = GridAxes()
     axes = replace(
         all_axes,
@@ -132,7 +149,7 @@
 def _simulate_and_print(
     planned: list[tuple[Scenario, list[RunSpec]]], processes: int, print_each_run: bool = True
 ) -> list[RunResult]:
-    """Plays all days; an interrupt ends it early and keeps what was played."""
+    """Simulates all runs and prints their figures; an interrupt ends it early and keeps the finished runs."""
     finished: list[RunResult] = []
     total_runs = sum(len(specs) for _, specs in planned)
     results = _run_results(planned, processes)
--- a/testbed/quota/customers.py
+++ b/testbed/quota/customers.py
@@ -1,4 +1,4 @@
-"""Draws the customers of a day: their plans, sets of gateways and demand over time."""
+"""Draws the customers of a run: their plans, entry gateways and demand over time."""
 
 from __future__ import annotations
 
@@ -16,65 +16,63 @@
 
 TimeSeries = NDArray[np.float64]
 
-DEMAND_STEP_S = 0.25  # s, the step of a customer's demand over time
-SURGE_START_S = Range(4.0, 8.0)  # s into the day at which its burst begins
-SURGE_DURATION_S = Range(4.0, 5.5)  # s of the burst of traffic that every day has
-SURGE_INCREASE = Range(0.4, 0.8)  # by how much all demand rises in it
-CALM_CUSTOMER_DEMAND = Range(0.15, 0.5)  # demand of most customers, over the rate
-FULL_CUSTOMER_DEMAND = Range(
-    0.6, 1.0
-)  # demand of a customer that uses nearly all of its quota, over the rate
-FULL_SHARE_FACTOR = 1.5  # times the site's share of such customers, as counted in plays
+DEMAND_STEP_S = 0.25  # demand is constant within a step
+# A demand is relative to the rate of the customer's plan unless its unit is named.
+SURGE_START_S = Range(4.0, 8.0)  # every run has one surge, in which the demand of all customers rises
+SURGE_DURATION_S = Range(4.0, 5.5)
+SURGE_INCREASE = Range(0.4, 0.8)  # over the demand without the surge
+CALM_CUSTOMER_DEMAND = Range(0.15, 0.5)
+FULL_CUSTOMER_DEMAND = Range(0.6, 1.0)  # "full" customers use nearly all of their quota
+FULL_SHARE_FACTOR = 1.5  # "full" customers in recorded runs, over the share in the site file
 CUSTOMER_KIND_SHARES = {"full": Range(0.1, 0.3), "heavy": Range(0.04, 0.12), "spiky": Range(0.1, 0.25)}
-HEAVY_CUSTOMER_DEMAND = Range(
-    1.6, 5.0
-)  # demand of a customer that asks too much for most of the day, over the rate
-HEAVY_PERIOD_SHARE = Range(0.5, 1.0)  # share of the day for which it does
-SPIKE_DEMAND = Range(2.0, 8.0)  # demand in a spike, over the rate
-SPIKE_DURATION_S = Range(0.5, 5.0)  # s
-SPIKE_INTERVAL_S = Range(10.0, 25.0)  # s
-WAVE_AMPLITUDE = Range(0.1, 0.35)  # share by which demand goes up and down over the day
-WAVE_PERIOD_S = Range(8.0, 30.0)  # s of one such wave
-GATEWAY_WEIGHT_SKEW = Range(0.3, 1.5)  # exponent by which the gateways of a set are unlike
-WEIGHT_CHANGE_INTERVAL_S = Range(5.0, 25.0)  # s after which the weights of a set change
-ENTRY_GATEWAY_SHARE = Range(0.3, 1.0)  # of a customer's set, over all gateways
-MIN_ENTRY_GATEWAYS = 2  # of a customer's set
-MAX_EXCESS_RATIO = 0.9  # asked beyond quotas over asked inside, at most
-HOT_KEY_LOAD_FACTOR = 2.5  # times the size of the trouble that customers with a hot key add to the load
+HEAVY_CUSTOMER_DEMAND = Range(1.6, 5.0)  # "heavy" customers exceed their quota for most of the run
+HEAVY_PERIOD_SHARE = Range(0.5, 1.0)  # of the run, for which the demand of a "heavy" customer is high
+SPIKE_DEMAND = Range(2.0, 8.0)  # of a "spiky" customer during a spike
+SPIKE_DURATION_S = Range(0.5, 5.0)
+SPIKE_INTERVAL_S = Range(10.0, 25.0)
+WAVE_AMPLITUDE = Range(0.1, 0.35)  # of the sine wave by which each demand varies, over its mean
+WAVE_PERIOD_S = Range(8.0, 30.0)
+GATEWAY_WEIGHT_SKEW = Range(0.3, 1.5)  # exponent of the Zipf weights of a customer's entry gateways
+WEIGHT_CHANGE_INTERVAL_S = Range(5.0, 25.0)  # after which these weights change
+ENTRY_GATEWAY_SHARE = Range(0.3, 1.0)  # of all gateways, that receive requests of a customer
+MIN_ENTRY_GATEWAYS = 2
+MAX_EXCESS_RATIO = 0.9  # demand in excess of quotas, over demand within them
+HOT_KEY_LOAD_FACTOR = 2.5  # extra demand of customers with a hot key, over size x total load
 HOT_KEY_SIZE = Range(0.03, 0.25)
-HOT_KEY_SIZE_RANGE_SHARE = 0.25  # part of the size's range, from its low end, that a calm day has
-HOT_KEY_DURATION_S = Range(5.0, 25.0)  # s
-HOT_KEY_START_SHARE = Range(0.0, 0.5)  # share of the day after which a hot key begins
+HOT_KEY_SIZE_RANGE_SHARE = 0.25  # only sizes in this lowest part of the range are drawn: mild hot keys
+HOT_KEY_DURATION_S = Range(5.0, 25.0)
+HOT_KEY_START_SHARE = Range(0.0, 0.5)  # of the run, after which the hot keys begin
 MAX_HOT_KEYS = 3
-MAX_HOT_KEY_DEMAND = (
-    15.0  # most that a hot key adds, over the rate; as much as any customer of the plays asked
-)
-DISTURBANCES = ("hot_key", "flush")  # of which a day has one; the model does not play a flush
+MAX_HOT_KEY_DEMAND = 15.0  # limit of what a hot key adds; the highest demand of a customer in recorded runs
+DISTURBANCES = ("hot_key", "flush")  # a run has one of them; a flush is not simulated
 
 
 @dataclass(slots=True, eq=False)
 class Customer:
-    """One customer: its plan, its set of gateways, and its demand (units a second) in steps of TICK."""
+    """One customer.
 
-    number: int
+    Its entry gateways are `entry_gateways` consecutive ones, of which `first_gateway` is the first.
+    """
+
+    number: int  # identifies the customer
     plan: api.Plan
     plan_index: int
     kind: str
     first_gateway: int
     entry_gateways: int
-    demand: TimeSeries
-    weight_changes_at: list[float]  # times (s) at which the weights of its gateways change
-    cumulative_weights: list[list[float]]  # cumulative, one list for each stretch between changes
+    demand: TimeSeries  # units a second, for each step of `DEMAND_STEP_S`
+    weight_changes_at: list[float]  # s, when the weights of its entry gateways change
+    cumulative_weights: list[list[float]]  # one list for each interval between changes
 
     def pick_gateway(self, now: float, random: Random, gateways: int) -> int:
-        """The gateway of the customer's set that the front gives a first try to."""
+        """Draws the entry gateway to which the load balancer sends a request."""
         weights = self.cumulative_weights[bisect.bisect(self.weight_changes_at, now)]
         position = bisect.bisect(weights, random.random() * weights[-1])
         return (self.first_gateway + min(position, self.entry_gateways - 1)) % gateways
 
 
 class CustomerBuilder:
-    """Draws customers until what they ask inside their quotas makes up the load."""
+    """Draws customers until their demand within quotas adds up to the load."""
 
     def __init__(
         self, site: Section, plans: tuple[api.Plan, ...], max_units: float, gateways: int, duration: float
@@ -88,7 +86,7 @@
         self.steps = int(duration / DEMAND_STEP_S)
 
     def customers(self, seed: int, total_load: float) -> list[Customer]:
-        """Customers of all plans whose demand inside quotas adds up to the load (units a second)."""
+        """Customers of all plans whose demand within quotas adds up to `total_load` (units a second)."""
         stream = RandomStream(seed, "customers")
         skew = stream.uniform(self.quota_section.range("skew", GATEWAY_WEIGHT_SKEW))
         shares = {
@@ -141,7 +139,7 @@
         )
 
     def _surge_factors(self, stream: RandomStream) -> TimeSeries:
-        """What all demand is multiplied by at each step."""
+        """The factor on all demand at each step."""
         factors = np.ones(self.steps)
         start = stream.uniform(SURGE_START_S)
         end = start + stream.uniform(SURGE_DURATION_S)
@@ -149,7 +147,7 @@
         return factors
 
     def _relative_demand(self, stream: RandomStream, kind: str) -> TimeSeries:
-        """A customer's demand over its rate, for each step of the day."""
+        """A customer's demand over the rate of its plan, for each step of the run."""
         quota_section = self.quota_section
         times = np.arange(self.steps) * DEMAND_STEP_S
         amplitude = stream.uniform(quota_section.range("wobble", WAVE_AMPLITUDE))
@@ -182,7 +180,7 @@
             at += max(DEMAND_STEP_S, interval * stream.random.uniform(0.7, 1.3))
 
     def _entry_gateway_count(self, stream: RandomStream, plan_index: int) -> int:
-        """The size of a customer's set; under a ceiling no gateway's part may be too small."""
+        """How many entry gateways a customer has; under a ceiling, no gateway's share may be too small."""
         plan = self.plans[plan_index]
         share_range = self.quota_section.sections("plan")[plan_index].range("spread", ENTRY_GATEWAY_SHARE)
         entry_gateways = round(stream.uniform(share_range) * self.gateways)
@@ -193,7 +191,7 @@
     def _gateway_weights(
         self, stream: RandomStream, skew: float, entry_gateways: int
     ) -> tuple[list[float], list[list[float]]]:
-        """Times at which the weights of a set change, and the cumulative weights of each stretch."""
+        """When the weights of the entry gateways change, and the cumulative weights between changes."""
         interval = max(
             DEMAND_STEP_S, stream.uniform(self.quota_section.range("shift_s", WEIGHT_CHANGE_INTERVAL_S))
         )
@@ -206,7 +204,7 @@
         return weight_changes_at, cumulative_weights
 
     def _limit_excess(self, customers: list[Customer]) -> None:
-        """Shrinks what is asked beyond quotas where it passes the site's bound."""
+        """Scales down the demand in excess of quotas to the site's maximum."""
         total_within = total_excess = 0.0
         for customer in customers:
             rate = _reference_rate(customer.plan)
@@ -221,7 +219,7 @@
             customer.demand = within + (customer.demand - within) * (max_excess / total_excess)
 
     def _add_hot_keys(self, stream: RandomStream, customers: list[Customer], total_load: float) -> None:
-        """Where the day's own trouble is a hot key, up to three customers ask for much more for a while."""
+        """If the run's disturbance is a hot key, adds much demand to a few customers for some time."""
         if "trouble" not in self.site.entries:
             return
         disturbances = [t for t in self.site.sections("trouble") if t.text("name") in DISTURBANCES]
@@ -255,5 +253,5 @@
 
 
 def _reference_rate(plan: api.Plan) -> float:
-    """Units a second that a customer's demand goes by; for a plan without a rate, its burst."""
+    """Units a second to which demand is relative; the burst for a plan without a rate."""
     return plan.rate or plan.burst
--- a/testbed/quota/deployment.py
+++ b/testbed/quota/deployment.py
@@ -1,6 +1,6 @@
-"""Draws one day of a deployment from a site file's ranges: settings, customers, clients and services.
+"""Draws a deployment from the ranges of a site file: gateway settings, customers, clients and services.
 
-Only what bears on quotas is drawn: plans, classes, units, customers of four kinds, the counter, the meter.
+Only what affects quotas is drawn: plans, classes, units, customers, clients, the counter and the meter.
 """
 
 from __future__ import annotations
@@ -20,65 +20,63 @@
 from testbed.quota.units import UNIT_RULES, RequestUnits, draw_units
 from testbed.quota.variation import SiteOverrides
 
-FIRST_TRY_RATE = Range(3.2, 6.5)  # first tries a second and gateway inside the quotas
-CUSTOMERS_PER_GATEWAY = Range(
-    3.2, 4.4
-)  # for each gateway; all rates of a large fleet are scaled to give so many
-MEAN_DEMAND_WITHIN_QUOTA = 0.55  # mean demand inside the quota, over the rate
+FIRST_TRY_RATE = Range(3.2, 6.5)  # first tries within quotas, per second and gateway
+CUSTOMERS_PER_GATEWAY = Range(3.2, 4.4)  # as in a large fleet; plan rates are scaled to give this many
+MEAN_DEMAND_WITHIN_QUOTA = 0.55  # over the rate
 COUNTER_CAPACITY_PER_GATEWAY = Range(
     0.02, 0.034
-)  # by which the counter's calls a second grow with each gateway
-COUNTER_QUEUE_LIMIT = Range(0.4, 3.0)  # longest line at a part of the counter, in time-outs
-METER_PERIOD_S = Range(1.0, 1.0)  # s
-METER_DELAY_MS = Range(200.0, 1500.0)  # ms
-ESTIMATE_SIGMA = Range(0.3, 0.7)  # sigma of the logarithm of guess over true units
-RETRY_ELSEWHERE_SHARE = Range(0.0, 0.8)  # share of the retries that another gateway of the set gets
-OPEN_LIMIT_FACTOR = Range(1.5, 2.5)  # limit of attempts at once, over what the rate keeps out on idle hosts
+)  # each gateway adds this share of the site's `counter_per_s`
+COUNTER_QUEUE_LIMIT = Range(0.4, 3.0)  # of a shard of the counter, over the counter timeout
+METER_PERIOD_S = Range(1.0, 1.0)
+METER_DELAY_MS = Range(200.0, 1500.0)
+ESTIMATE_SIGMA = Range(0.3, 0.7)  # standard deviation of the logarithm of estimated over true units
+RETRY_ELSEWHERE_SHARE = Range(0.0, 0.8)  # of retries, sent to a newly drawn entry gateway
+OPEN_LIMIT_FACTOR = Range(1.5, 2.5)  # over the mean outstanding attempts at the plan's rate and idle hosts
 MIN_OPEN_LIMIT = 2
-COLD_CAPACITY = 0.2  # capacity of a host that has just started; no host of the model does
-CEILING_SLACK = 0.1  # of the ceiling's burst
-SERVICE_TIME_SIGMA = 0.4  # sigma of the logarithm of a host's service time
-ZONES = 4  # zones of a large fleet; the counter stands in the first
+COLD_CAPACITY = 0.2  # of a host that has just started; has no effect, as no host starts during a run
+CEILING_SLACK = 0.1  # over the burst of the ceiling
+SERVICE_TIME_SIGMA = 0.4  # standard deviation of the logarithm of a host's service time
+ZONES = 4  # as in a large fleet; the counter is in the first zone
 BACKOFFS = ("none", "fixed", "exp")
-IMMEDIATE_RETRY_DELAY_S = 0.001  # s from a refusal to the next try where clients do not wait
+IMMEDIATE_RETRY_DELAY_S = 0.001  # between a refusal and the retry of a client without backoff
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A client's request: when its first try comes (s) and what it asks for."""
+    """A request of a client, from its first try to its last retry."""
 
-    at: float
+    at: float  # s, when the first try arrives
     customer: Customer
     class_index: int
-    true_units: float  # true units
-    estimated_units: float  # units that the request names: a guess where they are settled afterwards
+    true_units: float
+    estimated_units: float  # units that the gateway is told; the true ones unless post-paid
 
 
 @dataclass(frozen=True, slots=True)
 class CounterParameters:
-    """The shared counter: parts, calls a second in all, and its times in seconds."""
+    """Parameters of the shared counter. Times in seconds."""
 
     shards: int
-    calls_per_second: float
-    delay: float
-    queue_limit: float
-    timeout: float
+    calls_per_second: float  # of all shards together
+    delay: float  # of each reply, in addition to the queue and the service
+    queue_limit: float  # longest time in the queue of a shard
+    timeout: float  # of a call, at the gateway
 
 
 @dataclass(frozen=True, slots=True)
 class ClientBehaviour:
-    """How clients behave after a refusal; times in seconds."""
+    """How clients wait and retry."""
 
     max_retries: int
-    retry_after_share: float
-    backoff: str
-    backoff_time: float
-    min_timeout_share: float
-    elsewhere_share: float
+    retry_after_share: float  # probability that a client honours a Retry-After
+    backoff: str  # one of `BACKOFFS`
+    backoff_time: float  # s
+    min_timeout_share: float  # of the class's timeout, that a client waits at least
+    elsewhere_share: float  # probability that a retry goes to a newly drawn entry gateway
     marks_retries: bool
 
     def retry_delay(self, retry_number: int, retry_after: float, random: Random) -> float | None:
-        """Seconds until a client whose try `number` was refused comes again, None if it does not."""
+        """Seconds until a client retries after its try `retry_number` was refused, None if it gives up."""
         if retry_number >= self.max_retries:
             return None
         if retry_after and random.random() < self.retry_after_share:
@@ -92,25 +90,25 @@
 
 @dataclass(slots=True)
 class Deployment:
-    """All that a simulated day needs; gateways are only told what is in `settings`. Times in seconds."""
+    """All parameters of a run; gateways know only their `settings`. Times in seconds."""
 
     duration: float
     seed: int
     plans: tuple[api.Plan, ...]
     classes: tuple[api.RequestClass, ...]
-    class_shares: list[float]
+    class_shares: list[float]  # of all requests
     class_units: list[RequestUnits]
-    mean_service_times: list[float]
+    mean_service_times: list[float]  # on hosts, for each class
     settings: list[api.Settings]
     customers: list[Customer]
     clients: ClientBehaviour
     counter: CounterParameters
-    post_paid: bool
+    post_paid: bool  # whether responses tell the true units, which replace an estimate
     estimate_sigma: float
-    meter_period: float
+    meter_period: float  # 0: there is no meter
     meter_delay: float
-    same_zone_delay: float
-    cross_zone_delay: float
+    same_zone_delay: float  # one way
+    cross_zone_delay: float  # one way
 
     @property
     def mean_units(self) -> float:
@@ -118,7 +116,7 @@
         return _mean_units(self.class_shares, self.class_units)
 
     def arrivals(self) -> Iterator[Arrival]:
-        """All first tries, customer by customer and not in order of time."""
+        """All requests, ordered by customer and not by time."""
         generator = np.random.default_rng(self.seed)
         mean_units = self.mean_units
         for customer in self.customers:
@@ -138,15 +136,15 @@
         return Arrival(at, customer, class_index, true_units, estimated_units)
 
     def client_timeout(self, class_index: int, random: Random) -> float:
-        """Seconds that a client waits for one try."""
+        """Draws the time (s) for which a client waits for the answer to one try."""
         return self.classes[class_index].timeout * random.uniform(self.clients.min_timeout_share, 1.0)
 
     def service_time(self, class_index: int, random: Random) -> float:
-        """Seconds that a host takes for an attempt."""
+        """Draws the time (s) that a host takes for an attempt."""
         return self.mean_service_times[class_index] * random.lognormvariate(0.0, SERVICE_TIME_SIGMA)
 
     def counter_round_trip(self, gateway: int) -> float:
-        """Seconds from a gateway to the counter and back."""
+        """Network time (s) from a gateway to the counter and back."""
         return 2 * (self.same_zone_delay if self.settings[gateway].zone == 0 else self.cross_zone_delay)
 
 
@@ -157,7 +155,7 @@
     overrides: SiteOverrides | None = None,
     duration: float = 22.0,
 ) -> Deployment:
-    """Draws a day of `length` seconds for a fleet of `gateways`; SiteError names a mistake in the file."""
+    """Draws the parameters of a run of `duration` seconds; SiteError if the site file is invalid."""
     site = (overrides or SiteOverrides()).apply_to(read_site(site_file))
     try:
         return _DeploymentBuilder(site, seed, gateways, duration).build()
@@ -166,7 +164,7 @@
 
 
 class _DeploymentBuilder:
-    """Draws the parts of a day one after the other."""
+    """Draws the parts of a deployment; later ones depend on earlier ones."""
 
     def __init__(self, site: Section, seed: int, gateways: int, duration: float) -> None:
         self.site = site
@@ -182,7 +180,7 @@
         self.counter = self._draw_counter()
 
     def build(self) -> Deployment:
-        """The whole day."""
+        """The whole deployment."""
         net_stream = RandomStream(self.seed, "net")
         meter_stream = RandomStream(self.seed, "meter")
         meter_period = meter_stream.uniform(self.quota_section.range("meter_s", METER_PERIOD_S))
@@ -243,7 +241,7 @@
         )
 
     def _scaled_rates(self, rates: list[float]) -> list[float]:
-        """Rates (units a second) with which the load comes from as many customers as a large fleet has."""
+        """Scales plan rates (units a second) so that `CUSTOMERS_PER_GATEWAY` customers make up the load."""
         shares = [tenant.positive_range("share").high for tenant in self.site.sections("tenant")]
         plan_loads = [self.total_load * share for share in shares]
         expected_customers = sum(
--- a/testbed/quota/grid.py
+++ b/testbed/quota/grid.py
@@ -1,4 +1,4 @@
-"""The kinds of deployments that rules are compared on: all combinations of what quotas depend on."""
+"""Scenarios for comparing quota rules: all combinations of the settings that affect quotas."""
 
 from __future__ import annotations
 
@@ -11,35 +11,32 @@
 from testbed.quota.variation import CounterKind, SiteOverrides
 
 DEFAULT_SITE = Path(__file__).with_name("default_site.toml")
-SMALL_ENTRY_SHARE = Range(0.03, 0.1)  # of all gateways
+SMALL_ENTRY_SHARE = Range(0.03, 0.1)  # share of all gateways that are a customer's entry gateways
 WIDE_ENTRY_SHARE = Range(0.8, 1.0)
-EXCESS_COSTS = (0.5, 1.0, 1.5)
+EXCESS_COSTS = (0.5, 1.0, 1.5)  # of a request in excess of its quota, over its worth
 
 
 @dataclass(frozen=True, slots=True)
 class GridAxes:
-    """The values of each dimension that a grid goes through; by default all of them.
-
-    `excess_costs` are times the worth; `wide` says whether sets are the whole fleet or small.
-    """
+    """The values that a grid combines; by default all of them."""
 
     counters: tuple[CounterKind, ...] = tuple(CounterKind)
     meters: tuple[bool, ...] = (True, False)
-    wide_sets: tuple[bool, ...] = (False, True)
+    wide_sets: tuple[bool, ...] = (False, True)  # `WIDE_ENTRY_SHARE` or `SMALL_ENTRY_SHARE`
     excess_costs: tuple[float, ...] = EXCESS_COSTS
-    post_paid: tuple[bool, ...] = (False, True)
+    post_paid: tuple[bool, ...] = (False, True)  # whether responses correct estimated units
 
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """One kind of deployment and its name in a report."""
+    """Overrides of a site file and the name under which the results are reported."""
 
     name: str
     overrides: SiteOverrides
 
 
 def scenarios(axes: GridAxes) -> Iterator[Scenario]:
-    """All combinations of the choices."""
+    """All combinations of the values on the axes."""
     for counter, meter, wide_sets, excess_cost, post_paid in itertools.product(
         axes.counters, axes.meters, axes.wide_sets, axes.excess_costs, axes.post_paid
     ):
--- a/testbed/quota/plays.py
+++ b/testbed/quota/plays.py
@@ -1,4 +1,4 @@
-"""Plays days of a deployment, several at a time in processes of their own."""
+"""Simulates runs of a deployment, several at a time in separate processes."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunSpec:
-    """One day to be played, of `length` seconds."""
+    """One run to simulate, of `duration` seconds."""
 
     site: Path
     seed: int
@@ -28,15 +28,15 @@
 
 
 def simulate(spec: RunSpec) -> RunFigures:
-    """Plays a day with the decision module as it is; SiteError names a mistake in the site file."""
+    """Simulates one run with the real decision module; SiteError if the site file is invalid."""
     deployment = draw_deployment(spec.site, spec.seed, spec.gateways, spec.overrides, spec.duration)
     return Simulation(deployment, Gateway, spec.seed).run()
 
 
 def simulate_all(specs: Iterable[RunSpec], processes: int) -> Iterator[RunFigures]:
-    """Plays days side by side; figures come in the order of the plays, each as soon as it is known.
+    """Simulates runs in parallel and yields their figures in the order of `specs`, as soon as available.
 
-    Leaving the iteration early ends the processes.
+    Ending the iteration early ends the processes.
     """
     if processes == 1:
         yield from map(simulate, specs)
@@ -46,7 +46,7 @@
 
 
 def mean_figures(runs: Iterable[RunFigures]) -> RunFigures:
-    """The mean of each figure over several days of one deployment; ValueError if there is none."""
+    """The mean of each figure over several runs; ValueError if there are none."""
     all_figures = list(runs)
     if not all_figures:
         raise ValueError("no simulation runs to average")
--- a/testbed/quota/report.py
+++ b/testbed/quota/report.py
@@ -1,4 +1,4 @@
-"""The figures of one simulated day, by the definitions that the deployment's operators use."""
+"""Figures of one simulated run, as the operators of the deployment define them."""
 
 from __future__ import annotations
 
@@ -10,53 +10,53 @@
 from testbed.quota.services import QuotaBucket
 from testbed.quota.tries import ClientTry
 
-ROOM_SHARE = 0.5  # share of the burst that has to be unused for a refusal to count as "with room"
+ROOM_SHARE = 0.5  # share of the burst that must be left for a refusal to count as "with room"
 
 
 @dataclass(slots=True)
 class PlanFigures:
-    """Worth sums of one plan (class worth x plan price x units)."""
+    """Sums for the requests of one plan. The worth of a request is class worth x plan price x units."""
 
-    offered: float = 0.0
-    served_within_quota: float = 0.0
-    excess_served: float = 0.0
-    cost_of_excess: float = 0.0
+    offered: float = 0.0  # worth of the first tries, as a single gateway would have admitted them
+    served_within_quota: float = 0.0  # worth
+    excess_served: float = 0.0  # worth, reduced by the plan's `excess_worth`
+    cost_of_excess: float = 0.0  # cost of what was sent in excess of quotas
 
     @property
     def served_share(self) -> float:
-        """Worth served over worth offered; nought if none was offered."""
+        """Worth served over worth offered; 0 if none was offered."""
         return (self.served_within_quota + self.excess_served) / self.offered if self.offered else 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class RunFigures:
-    """Figures of one day. Shares of the worth offered: over_quota, served. Of all tries: the refusals."""
+    """Figures of one run."""
 
-    over_quota: float
-    served: float
-    refused_with_room: float
-    refused: float
+    over_quota: float  # cost of what was sent in excess of quotas, over the worth offered
+    served: float  # worth served, over the worth offered
+    refused_with_room: float  # share of all tries; at least `ROOM_SHARE` of the burst was left
+    refused: float  # share of all tries
     tries: int
-    first_tries: int
+    first_tries: int  # tries that are not retries
     counter_calls: int
-    counter_unanswered: float  # share of the calls that were turned away or answered too late
+    counter_unanswered: float  # share of the calls that were rejected or answered too late
     served_by_plan: tuple[float, ...]
 
     @property
     def net(self) -> float:
-        """What was served less the price of what was sent on beyond quotas."""
+        """Worth served less the cost of what was sent in excess of quotas, over the worth offered."""
         return self.served - self.over_quota
 
 
 class ReferenceGateway:
-    """One gateway that sees all first tries of a customer; it defines what is offered."""
+    """A single gateway for all first tries of a customer; its decisions define the worth offered."""
 
     def __init__(self, plan: api.Plan) -> None:
         self.bucket = QuotaBucket.full(plan)
         self.end_times: list[float] = []
 
     def admits(self, now: float, units: float, service_time: float) -> bool:
-        """Whether a first try, which would take a host `service_time` seconds, is let in."""
+        """Whether a first try that would take a host `service_time` seconds is within the quota."""
         while self.end_times and self.end_times[0] <= now:
             heapq.heappop(self.end_times)
         self.bucket.open_attempts = len(self.end_times)
@@ -67,7 +67,7 @@
 
 
 class FigureCollector:
-    """Collects what happens to each try and sums it up."""
+    """Records the events of all tries and sums them up."""
 
     def __init__(self, deployment: Deployment) -> None:
         self.deployment = deployment
@@ -81,7 +81,7 @@
         self.counter_unanswered = 0
 
     def record_arrival(self, now: float, client_try: ClientTry) -> None:
-        """A try has come; a customer's first ones define what is offered."""
+        """Records that a try has arrived; first tries count towards the worth offered."""
         self.tries += 1
         if client_try.retry_number:
             return
@@ -95,14 +95,14 @@
         self.plans[client_try.customer.plan_index].offered += share * self._worth(client_try)
 
     def record_sent(self, client_try: ClientTry) -> None:
-        """A try was first sent on, inside or beyond its quota."""
+        """Records that a try was first sent to a host."""
         if client_try.within_quota:
             return
         cost = client_try.customer.plan.excess_cost * self._worth(client_try)
         self.plans[client_try.customer.plan_index].cost_of_excess += cost
 
     def record_served(self, client_try: ClientTry) -> None:
-        """A try was answered."""
+        """Records that a try was answered by a host."""
         figures = self.plans[client_try.customer.plan_index]
         worth = self._worth(client_try)
         if client_try.within_quota:
@@ -111,7 +111,7 @@
             figures.excess_served += client_try.customer.plan.excess_worth * worth
 
     def record_refused(self, client_try: ClientTry, level: float) -> None:
-        """A try was refused while its store held `level` units."""
+        """Records that a try was refused while the customer's bucket held `level` units."""
         self.refused_count += 1
         if level >= max(ROOM_SHARE * client_try.customer.plan.burst, client_try.request.units):
             self.refused_with_room += 1
@@ -121,7 +121,7 @@
         return worth * client_try.request.units
 
     def summary(self) -> RunFigures:
-        """The day's figures; all nought where nothing was offered."""
+        """The figures of the run; shares are 0 if nothing was offered."""
         offered = sum(plan.offered for plan in self.plans) or 1.0
         tries = max(self.tries, 1)
         return RunFigures(
--- a/testbed/quota/services.py
+++ b/testbed/quota/services.py
@@ -1,4 +1,4 @@
-"""The services that tell gateways of each other's traffic, and the true quota stores."""
+"""Simulated shared counter and usage meter, and the token buckets that define each customer's quota."""
 
 from __future__ import annotations
 
@@ -8,32 +8,32 @@
 
 from coralvale import interface as api
 
-ROUNDING_TOLERANCE = 1e-9  # units that a store may lack through rounding
-METER_PERIODS_KEPT = 64  # periods of a customer that the meter remembers, well past its lateness
+ROUNDING_TOLERANCE = 1e-9  # units
+METER_PERIODS_KEPT = 64  # enough to cover the delay of the meter
 
 
 @dataclass(slots=True)
 class QuotaBucket:
-    """The true token store of one customer over all gateways (units; rate in units a second)."""
+    """Token bucket of one customer over all gateways, which defines what is within its quota."""
 
-    rate: float
-    burst: float
-    level: float
-    open_limit: float = 0.0  # attempts out at once; 0 means no limit
-    updated_at: float = 0.0
+    rate: float  # units a second; 0 means no limit
+    burst: float  # units
+    level: float  # units at `updated_at`
+    open_limit: float = 0.0  # attempts that may be outstanding at once; 0 means no limit
+    updated_at: float = 0.0  # s
     open_attempts: int = 0
 
     @classmethod
     def full(cls, plan: api.Plan) -> QuotaBucket:
-        """The store of a customer of a plan as the day begins."""
+        """A full bucket for a customer of the plan."""
         return cls(plan.rate, plan.burst, plan.burst, plan.open_limit)
 
     def level_at(self, now: float) -> float:
-        """The units in the store at a time, without taking any."""
+        """The units in the bucket at `now`, without taking any."""
         return min(self.burst, self.level + self.rate * (now - self.updated_at))
 
     def take(self, now: float, units: float) -> bool:
-        """Takes a request's units if the store holds them; says whether the request was inside its quota."""
+        """Takes the units of a request if it is within the quota; returns whether it is."""
         self.level = self.level_at(now)
         self.updated_at = now
         if not self.allows(now, units):
@@ -43,26 +43,26 @@
         return True
 
     def allows(self, now: float, units: float) -> bool:
-        """Whether a request of so many units would be inside the quota now."""
+        """Whether a request of this many units would be within the quota."""
         if self.open_limit and self.open_attempts >= self.open_limit:
             return False
         return not self.rate or self.level_at(now) >= units - ROUNDING_TOLERANCE
 
     def correct(self, units: float) -> None:
-        """Takes the difference between true and guessed units; the level may fall below zero."""
+        """Takes the difference between true and estimated units; the level may become negative."""
         self.level -= units
 
 
 @dataclass(slots=True)
 class CounterShard:
-    """One part of the counter: calls are served in turn by one server with a bounded queue."""
+    """One shard of the counter: serves one call at a time and has a bounded queue. Times in seconds."""
 
     service_time: float
-    queue_limit: float
-    free_at: float = 0.0
+    queue_limit: float  # longest time in the queue
+    free_at: float = 0.0  # when all queued calls are served
 
     def serve(self, now: float) -> float | None:
-        """When a call that arrives now is answered; None if the queue is too long."""
+        """When a call that arrives now is served; None if the queue is too long."""
         start = max(now, self.free_at)
         if start - now > self.queue_limit:
             return None
@@ -72,14 +72,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CounterResult:
-    """When a call is answered (s, on the counter's side) and the total; no total if it was turned away."""
+    """Result of a call to the counter."""
 
-    at: float
-    total: float | None
+    at: float  # s, when the reply leaves the counter
+    total: float | None  # None if the call was rejected
 
 
 class Counter:
-    """Named totals, spread by name over parts that serve `calls_per_second` together (times in seconds)."""
+    """Named totals, sharded by name; all shards together serve `calls_per_second`. Times in seconds."""
 
     def __init__(self, shards: int, calls_per_second: float, delay: float, queue_limit: float) -> None:
         self.shards = [CounterShard(shards / calls_per_second, queue_limit) for _ in range(shards)]
@@ -89,7 +89,7 @@
         self.rejected_calls = 0
 
     def add(self, now: float, name: int, amount: float, lifetime: float) -> CounterResult:
-        """Adds an amount to a name, which is forgotten `lifetime` after its first call."""
+        """Adds an amount to an entry, which expires `lifetime` after its first call."""
         served_at = self.shards[hash(name) % len(self.shards)].serve(now)
         if served_at is None:
             self.rejected_calls += 1
@@ -103,25 +103,25 @@
 
 @dataclass(slots=True)
 class Meter:
-    """One customer's use by periods, readable only after a delay (both in seconds)."""
+    """Metered use of one customer in each period, readable after a delay. Times in seconds."""
 
-    period: float
+    period: float  # 0: there is no meter
     delay: float
-    current_period: int = 0
-    current_units: float = 0.0
+    current_period: int = 0  # index
+    current_units: float = 0.0  # used in it
     finished_periods: deque[tuple[int, float]] = field(
         default_factory=lambda: deque(maxlen=METER_PERIODS_KEPT)
     )
 
     def record(self, now: float, units: float) -> None:
-        """Adds units that were sent on now."""
+        """Adds units that are sent to a host now."""
         if not self.period:
             return
         self._advance_to(now)
         self.current_units += units
 
     def read(self, now: float, rate: float) -> float:
-        """Use in the last period whose sum is known, as a fraction of the rate; nought without a rate."""
+        """Use in the last period that is readable, as a fraction of the rate; 0 without a rate."""
         if not rate or not self.period:
             return 0.0
         self._advance_to(now)
--- a/testbed/quota/simulation.py
+++ b/testbed/quota/simulation.py
@@ -1,4 +1,4 @@
-"""The event loop of the quota model: requests, attempts, counter calls and timers in simulated time."""
+"""Event loop of the quota simulation: requests, attempts, counter calls and timers in simulated time."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 from testbed.quota.services import Counter, Meter, QuotaBucket
 from testbed.quota.tries import ClientTry
 
-HOST_COUNT = 24  # hosts that all gateways list; the model gives them no limit, so few will do
-GATEWAY_START_WINDOW_S = 1.0  # s over which the gateways start
+HOST_COUNT = 24  # hosts have unlimited capacity in the model, so a few are enough
+GATEWAY_START_WINDOW_S = 1.0  # gateways start within this time before the run
 
 
 class DecisionModule(Protocol):
-    """What the model needs of a gateway's decision module."""
+    """Interface of a gateway's decision module."""
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        """Takes an event at a time (s); returns the actions to carry out."""
+        """Handles an event at time `now` (s); returns the actions to carry out."""
         ...
 
 
 class Simulation:
-    """Plays one day; `make` builds the decision module of a gateway from its settings and a seed."""
+    """Simulates one run; `make_gateway` builds a decision module from its settings and a seed."""
 
     def __init__(
         self, deployment: Deployment, make_gateway: Callable[[api.Settings, int], DecisionModule], seed: int
@@ -52,7 +52,7 @@
         self.now = 0.0
 
     def run(self) -> RunFigures:
-        """Plays the day to its end and returns its figures."""
+        """Simulates the run to its end and returns its figures."""
         self._start_gateways()
         for arrival in self.deployment.arrivals():
             self._schedule(arrival.at, self._start_first_try, arrival)
@@ -150,7 +150,7 @@
         self._deliver(gateway, event)
 
     def _correct_units(self, client_try: ClientTry) -> float | None:
-        """The true units, where they are told afterwards; the first answer corrects the store."""
+        """The true units, if responses tell them; the first response corrects the bucket."""
         if not self.deployment.post_paid:
             return None
         units = client_try.arrival.true_units
--- a/testbed/quota/tries.py
+++ b/testbed/quota/tries.py
@@ -1,4 +1,4 @@
-"""A request at a gateway as the simulation and its figures know it."""
+"""State of one request in the simulation."""
 
 from __future__ import annotations
 
@@ -11,19 +11,22 @@
 
 @dataclass(slots=True)
 class ClientTry:
-    """One request of a client at one gateway; a client's retry is another."""
+    """One request of a client to one gateway; a retry by the client is a new try.
+
+    It is not an attempt, which is what a gateway sends to a host.
+    """
 
     request: api.Request
     arrival: Arrival
     gateway: int
-    retry_number: int
-    sent: bool = False
-    corrected: bool = False
-    within_quota: bool = False
-    ended: bool = False
+    retry_number: int  # 0 for the first try
+    sent: bool = False  # to a host, at least once
+    corrected: bool = False  # the true units have been told
+    within_quota: bool = False  # by the true bucket, when first sent
+    ended: bool = False  # answered or refused
     attempts_sent: int = 0
 
     @property
     def customer(self) -> Customer:
-        """Whose request it is."""
+        """The customer whose request it is."""
         return self.arrival.customer
--- a/testbed/quota/units.py
+++ b/testbed/quota/units.py
@@ -1,4 +1,4 @@
-"""How many units a request takes: one, by its class, or by its own work."""
+"""Quota units of requests: always one, fixed for each class, or drawn by the work of each request."""
 
 from __future__ import annotations
 
@@ -10,17 +10,19 @@
 from testbed.quota.draws import RandomStream
 from testbed.quota.site import Range, Section
 
-DEFAULT_MAX_UNITS = 6.0  # of a request, where the site names none
-DEFAULT_WORK_CV = Range(0.6, 1.2)  # coefficient of variation of a class's work, where the site names none
+DEFAULT_MAX_UNITS = 6.0  # quota units of one request
+DEFAULT_WORK_CV = Range(0.6, 1.2)  # coefficient of variation of the work within a class
+# One unit each; fixed by the mean work of the class; by the work of the request; the same, but the gateway
+# gets an estimate first and the true units with the response.
 UNIT_RULES = ("one", "class", "size", "after")
 DISTRIBUTIONS = ("lognormal", "exp", "fixed")
 
 
 @dataclass(frozen=True, slots=True)
 class RequestUnits:
-    """Chances of 1, 2, ... units of one class of requests."""
+    """Distribution of the units of the requests of one class."""
 
-    probabilities: tuple[float, ...]
+    probabilities: tuple[float, ...]  # of 1, 2, ... units
 
     @property
     def mean(self) -> float:
@@ -29,21 +31,21 @@
 
     @property
     def maximum(self) -> int:
-        """The most units that a request of the class may have."""
+        """The most units that a request of the class can have."""
         return max(units for units, probability in enumerate(self.probabilities, start=1) if probability > 0)
 
     def sample(self, generator: np.random.Generator) -> int:
-        """Units of one request."""
+        """Draws the units of one request."""
         return 1 + int(np.searchsorted(np.cumsum(self.probabilities)[:-1], generator.random(), side="right"))
 
 
 def draw_units(site: Section, mean_service_times: list[float], stream: RandomStream) -> list[RequestUnits]:
-    """Units of each class, whose mean work (s) is given; SiteError if the site's rule is unknown."""
+    """Distribution of the units of each class, given its mean service time (s); SiteError if invalid."""
     quota_section = site.section("fam")
     (unit_rule,) = quota_section.options("units", UNIT_RULES)
     maximum = int(quota_section.number("most_units", DEFAULT_MAX_UNITS))
     if maximum < 1:
-        quota_section.fail("most_units", "has to be 1 at least")
+        quota_section.fail("most_units", "must be at least 1")
     if unit_rule == "one":
         return [RequestUnits((1.0,)) for _ in mean_service_times]
     means = [service_time / min(mean_service_times) for service_time in mean_service_times]
@@ -60,7 +62,7 @@
 
 
 def _units_by_work(section: Section, mean: float, maximum: int, stream: RandomStream) -> RequestUnits:
-    """Units go by the request's work over the lightest class's mean, rounded."""
+    """Units are the work of a request over the mean of the class with the least, rounded and limited."""
     distribution = stream.choice(section.options("dist", DISTRIBUTIONS, "lognormal"))
     cv = stream.uniform(section.range("cv", DEFAULT_WORK_CV))
     below = [_probability_below((units + 0.5) / mean, distribution, cv) for units in range(1, maximum)]
@@ -69,7 +71,7 @@
 
 
 def _probability_below(work: float, distribution: str, cv: float) -> float:
-    """The chance that a request's work, over its class's mean, is below a value."""
+    """The probability that the work of a request, over the mean of its class, is below `work`."""
     if distribution == "exp":
         return 1.0 - math.exp(-work)
     if distribution == "fixed" or cv == 0:
--- a/testbed/quota/variation.py
+++ b/testbed/quota/variation.py
@@ -1,4 +1,4 @@
-"""What a comparison changes about a deployment: the counter, the meter, set sizes, costs, settling."""
+"""Overrides of a site file for comparisons: counter, meter, entry gateways, excess costs, post-payment."""
 
 from __future__ import annotations
 
@@ -7,6 +7,7 @@
 
 from testbed.quota.site import Range, Section
 
+# Entries of the site's table `fam`; the site's own entries take precedence over the defaults.
 METER_DEFAULTS = {"meter_s": 0.5, "meter_late_ms": [210, 1400]}
 COUNTER_DEFAULTS = {"counter_timeout_ms": 30, "counter_parts": [1, 3]}
 GOOD_COUNTER = {"counter_per_s": [600, 820], "counter_ms": [0.35, 1.7]}
@@ -15,7 +16,7 @@
 
 
 class CounterKind(Enum):
-    """How much the shared counter bears."""
+    """Capacity of the shared counter."""
 
     GOOD = "good"
     SLOW = "slow"
@@ -24,19 +25,16 @@
 
 @dataclass(frozen=True, slots=True)
 class SiteOverrides:
-    """What is changed about a site's own ranges; None leaves the site's.
-
-    `sets` is the size of a customer's set as a share of all gateways.
-    """
+    """Changes to the entries of a site file; None keeps the site's."""
 
     counter: CounterKind | None = None
     meter: bool | None = None
-    entry_share: Range | None = None
-    excess_cost: float | None = None
-    post_paid: bool | None = None
+    entry_share: Range | None = None  # entry gateways of a customer, over all gateways
+    excess_cost: float | None = None  # of a request in excess of its quota, over its worth
+    post_paid: bool | None = None  # whether responses correct estimated units
 
     def apply_to(self, site: Section) -> Section:
-        """The site with the changes made; SiteError if it has no quotas or plans."""
+        """A copy of the site with the changes; SiteError if it has no quota table or no plans."""
         quota_entries = site.section("fam")
         changed = dict(quota_entries.entries)
         changed |= self._counter_changes(changed)
--- a/tests/test_quota_model.py
+++ b/tests/test_quota_model.py
@@ -1,4 +1,4 @@
-"""The quota model: its services, its draws, its bookkeeping and its command."""
+"""Tests of the quota simulation: services, random draws, figures, simulated runs and the command."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 
 
 class RefuseAll:
-    """Refuses every request, without advice."""
+    """Refuses every request, without a Retry-After."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         pass
@@ -65,7 +65,7 @@
 
 @dataclass
 class AdmitByTrueBucket:
-    """Admits what the true store of the simulation holds; no real gateway can see it."""
+    """Admits by the true bucket of the customer, which no real gateway can see."""
 
     buckets: dict[int, QuotaBucket]
 
@@ -77,10 +77,10 @@
         return [api.Refuse(event.id)]
 
 
-# The true store
+# The true bucket
 
 
-def test_a_store_takes_what_it_holds_and_fills_at_its_rate() -> None:
+def test_a_bucket_grants_up_to_its_level_and_refills_at_its_rate() -> None:
     bucket = QuotaBucket(rate=2.0, burst=4.0, level=4.0)
     assert bucket.take(0.0, 3.0)
     assert not bucket.take(0.0, 2.0)
@@ -90,13 +90,13 @@
     assert bucket.level_at(100.0) == 4.0
 
 
-def test_a_try_beyond_the_quota_takes_nothing() -> None:
+def test_a_request_in_excess_of_the_quota_takes_no_units() -> None:
     bucket = QuotaBucket(rate=1.0, burst=4.0, level=1.0)
     assert not bucket.take(0.0, 2.0)
     assert bucket.level_at(0.0) == 1.0
 
 
-def test_settling_takes_the_difference_and_may_go_below_nothing() -> None:
+def test_a_correction_takes_the_difference_and_may_make_the_level_negative() -> None:
     bucket = QuotaBucket(rate=1.0, burst=4.0, level=2.0)
     assert bucket.take(0.0, 2.0)
     bucket.correct(3.0)
@@ -106,7 +106,7 @@
     assert bucket.level_at(3.0) == 2.0
 
 
-def test_a_limit_of_attempts_at_once_bounds_what_is_inside() -> None:
+def test_the_open_limit_bounds_outstanding_attempts() -> None:
     bucket = QuotaBucket(rate=0.0, burst=0.0, level=0.0, open_limit=2.0, open_attempts=1)
     assert bucket.take(0.0, 5.0)
     bucket.open_attempts = 2
@@ -116,19 +116,19 @@
 # The counter
 
 
-def test_calls_on_one_part_wait_in_turn() -> None:
+def test_calls_to_one_counter_shard_queue() -> None:
     counter = Counter(shards=1, calls_per_second=100.0, delay=0.005, queue_limit=1.0)
     answers = [counter.add(0.0, 7, 2.0, 60.0) for _ in range(3)]
     assert [answer.at for answer in answers] == pytest.approx([0.015, 0.025, 0.035])
     assert [answer.total for answer in answers] == [2.0, 4.0, 6.0]
 
 
-def test_calls_on_other_parts_do_not_wait() -> None:
+def test_calls_to_different_counter_shards_do_not_wait_for_each_other() -> None:
     counter = Counter(shards=2, calls_per_second=100.0, delay=0.0, queue_limit=1.0)
     assert counter.add(0.0, 0, 1.0, 60.0).at == counter.add(0.0, 1, 1.0, 60.0).at == pytest.approx(0.02)
 
 
-def test_a_call_is_turned_away_and_adds_nothing_when_the_line_is_long() -> None:
+def test_a_call_beyond_the_queue_limit_is_rejected_and_adds_nothing() -> None:
     counter = Counter(shards=1, calls_per_second=100.0, delay=0.0, queue_limit=0.015)
     answers = [counter.add(0.0, 7, 1.0, 60.0) for _ in range(3)]
     assert [answer.total for answer in answers] == [1.0, 2.0, None]
@@ -136,7 +136,7 @@
     assert counter.add(1.0, 7, 0.0, 60.0).total == 2.0
 
 
-def test_a_name_is_forgotten_after_the_lifetime_of_its_first_call() -> None:
+def test_a_counter_entry_expires_after_the_lifetime_of_its_first_call() -> None:
     counter = Counter(shards=1, calls_per_second=1000.0, delay=0.0, queue_limit=1.0)
     counter.add(0.0, 7, 3.0, 10.0)
     assert counter.add(9.9, 7, 1.0, 60.0).total == 4.0
@@ -146,7 +146,7 @@
 # The meter
 
 
-def test_a_reading_is_known_only_after_its_period_and_the_delay() -> None:
+def test_a_meter_period_is_readable_only_after_its_end_and_the_delay() -> None:
     meter = Meter(period=1.0, delay=0.5)
     meter.record(0.2, 6.0)
     assert meter.read(1.4, rate=4.0) == 0.0
@@ -154,16 +154,16 @@
     assert meter.read(2.6, rate=4.0) == 0.0
 
 
-def test_a_meter_says_nothing_of_a_plan_without_a_rate() -> None:
+def test_a_meter_reads_zero_for_a_plan_without_a_rate() -> None:
     meter = Meter(period=1.0, delay=0.0)
     meter.record(0.2, 6.0)
     assert meter.read(1.5, rate=0.0) == 0.0
 
 
-# Draws
+# Random draws
 
 
-def test_the_same_seed_draws_the_same_day_and_another_does_not() -> None:
+def test_the_same_seed_draws_the_same_requests_and_another_does_not() -> None:
     first, again, other = (list(small_deployment(seed).arrivals()) for seed in (3, 3, 4))
     assert [(a.at, a.true_units, a.customer.number) for a in first] == [
         (a.at, a.true_units, a.customer.number) for a in again
@@ -171,7 +171,7 @@
     assert [a.at for a in first] != [a.at for a in other]
 
 
-def test_the_counter_leaves_the_customers_as_they_are() -> None:
+def test_the_kind_of_counter_does_not_change_the_customers() -> None:
     without = small_deployment(overrides=SiteOverrides(CounterKind.NONE))
     slow = small_deployment(overrides=SiteOverrides(CounterKind.SLOW))
     assert [c.number for c in without.customers] == [c.number for c in slow.customers]
@@ -179,14 +179,14 @@
     assert slow.settings[0].may_count and not without.settings[0].may_count
 
 
-def test_requests_come_at_the_demand_of_the_customers() -> None:
+def test_requests_add_up_to_the_demand_of_the_customers() -> None:
     deployment = small_deployment(gateways=60)
-    asked = sum(arrival.true_units for arrival in deployment.arrivals())
+    requested_units = sum(arrival.true_units for arrival in deployment.arrivals())
     demand = sum(float(customer.demand.sum()) for customer in deployment.customers) * DEMAND_STEP_S
-    assert asked == pytest.approx(demand, rel=0.1)
+    assert requested_units == pytest.approx(demand, rel=0.1)
 
 
-def test_a_customers_requests_stay_in_its_set() -> None:
+def test_a_customers_requests_reach_only_its_entry_gateways() -> None:
     deployment = small_deployment(overrides=SiteOverrides(entry_share=Range(0.2, 0.4)))
     customer = deployment.customers[0]
     allowed = {(customer.first_gateway + i) % GATEWAYS for i in range(customer.entry_gateways)}
@@ -194,7 +194,7 @@
     assert {customer.pick_gateway(i / 50, random, GATEWAYS) for i in range(250)} == allowed
 
 
-def test_guesses_stay_between_one_unit_and_the_most() -> None:
+def test_estimated_units_stay_between_one_and_the_maximum() -> None:
     deployment = small_deployment(overrides=SiteOverrides(post_paid=True))
     arrivals = list(deployment.arrivals())
     assert any(a.estimated_units != a.true_units for a in arrivals)
@@ -202,14 +202,14 @@
 
 
 @pytest.mark.parametrize(("rule", "expected"), [("one", [1, 1]), ("class", [1, 3])])
-def test_units_by_a_rule_that_leaves_nothing_to_chance(rule: str, expected: list[int]) -> None:
+def test_unit_rules_without_random_draws(rule: str, expected: list[int]) -> None:
     site = Section({"fam": {"units": rule, "most_units": 6}}, "test.toml")
     units = draw_units(site, [0.02, 0.06], stream=None)  # type: ignore[arg-type]
     assert [u.mean for u in units] == expected
     assert [u.maximum for u in units] == expected
 
 
-def test_clients_retry_so_often_and_wait_as_they_were_told() -> None:
+def test_clients_retry_up_to_their_maximum_and_honour_retry_after() -> None:
     clients = ClientBehaviour(2, 1.0, "exp", 0.1, 1.0, 0.0, True)
     random = Random(1)
     assert [clients.retry_delay(i, 0.0, random) for i in range(3)] == [0.1, 0.2, None]
@@ -221,7 +221,7 @@
 # Figures
 
 
-def test_what_is_offered_goes_by_first_tries_only() -> None:
+def test_only_first_tries_count_towards_the_worth_offered() -> None:
     deployment = small_deployment()
     plan = replace(deployment.plans[0], rate=1.0, burst=2.0, price=1.0, excess_worth=0.25)
     customer = SimpleNamespace(number=1, plan=plan, plan_index=0)
@@ -243,20 +243,20 @@
     assert figures.plans[0].offered == pytest.approx(1.25 * worth)
 
 
-def test_a_day_without_requests_has_figures_of_nought() -> None:
+def test_the_figures_of_a_run_without_requests_are_zero() -> None:
     figures = FigureCollector(small_deployment()).summary()
     assert (figures.tries, figures.over_quota, figures.served, figures.net) == (0, 0.0, 0.0, 0.0)
 
 
-def test_means_need_a_day() -> None:
+def test_means_need_at_least_one_run() -> None:
     with pytest.raises(ValueError, match="no simulation runs"):
         mean_figures([])
 
 
-# Plays
+# Simulated runs
 
 
-def test_admitting_all_goes_over_quotas_and_refuses_none() -> None:
+def test_admitting_all_exceeds_quotas_and_refuses_none() -> None:
     figures = Simulation(small_deployment(), AdmitAll, 3).run()
     assert figures.over_quota > 0
     assert figures.refused == 0
@@ -270,7 +270,7 @@
     assert figures.refused_with_room > 0.9
 
 
-def test_granting_by_the_true_store_is_never_over_quota() -> None:
+def test_admitting_by_the_true_bucket_never_exceeds_quotas() -> None:
     deployment = small_deployment()
     simulation = Simulation(deployment, RefuseAll, 3)
     simulation.gateways = [AdmitByTrueBucket(simulation.buckets) for _ in simulation.gateways]
@@ -281,7 +281,7 @@
 
 
 def tries_of_refused_requests(elsewhere_share: float) -> list[tuple[Arrival, int]]:
-    """Gateways of all tries of a play in which all are refused and come again."""
+    """All tries, with their gateways, of a run in which every request is refused and retried."""
     deployment = small_deployment()
     deployment.clients = replace(deployment.clients, max_retries=2, elsewhere_share=elsewhere_share)
     simulation = Simulation(deployment, RefuseAll, 3)
@@ -289,7 +289,7 @@
     return [(client_try.arrival, client_try.gateway) for client_try in simulation.tries.values()]
 
 
-def test_a_retry_comes_back_to_the_same_gateway_unless_the_front_sends_it_elsewhere() -> None:
+def test_a_retry_goes_to_the_same_gateway_unless_the_load_balancer_moves_it() -> None:
     def count_pairs(tries: list[tuple[Arrival, int]]) -> int:
         return len({(id(arrival), gateway) for arrival, gateway in tries})
 
@@ -298,7 +298,7 @@
     assert count_pairs(moving) > 1.5 * len({id(arrival) for arrival, _ in moving})
 
 
-def test_the_first_answer_settles_the_units_once() -> None:
+def test_the_true_units_correct_the_bucket_once() -> None:
     deployment = small_deployment(overrides=SiteOverrides(CounterKind.NONE, post_paid=True))
     simulation = Simulation(deployment, AdmitAll, 3)
     customer: Customer = deployment.customers[0]
@@ -313,7 +313,7 @@
     assert bucket.level_at(0.0) == before - 3.0
 
 
-def test_the_real_module_with_the_same_seed_gives_the_same_figures() -> None:
+def test_the_real_gateway_with_the_same_seed_gives_the_same_figures() -> None:
     overrides = SiteOverrides(
         CounterKind.SLOW, meter=True, entry_share=WIDE_ENTRY_SHARE, excess_cost=1.5, post_paid=True
     )
@@ -325,7 +325,7 @@
     assert simulate(replace(spec, seed=6)) != first
 
 
-def test_the_real_module_lies_between_the_two_extremes() -> None:
+def test_the_real_gateway_lies_between_refusing_all_and_admitting_all() -> None:
     deployment = small_deployment()
     real = Simulation(deployment, Gateway, 3).run()
     admitting_all = Simulation(small_deployment(), AdmitAll, 3).run()
@@ -333,7 +333,7 @@
     assert real.over_quota < admitting_all.over_quota
 
 
-def test_plays_in_processes_give_the_same_as_in_one() -> None:
+def test_runs_in_several_processes_give_the_same_figures_as_in_one() -> None:
     specs = [RunSpec(DEFAULT_SITE, seed, 4, 2.0, SiteOverrides()) for seed in (1, 2)]
     assert list(simulate_all(specs, 2)) == list(simulate_all(specs, 1))
 
@@ -352,22 +352,26 @@
 @pytest.mark.parametrize(
     ("pattern", "replacement", "message"),
     [
-        (r"^rate = .*", 'rate = "fast"', r"wrong.toml: fam.plan\[0\].rate: 'fast' is no number"),
-        (r"^rate = .*", "rate = [3, 1]", r"fam.plan\[0\].rate: \[3, 1\] is not a range from 0 up"),
-        (r"^rate = .*", "rate = 0", r"fam.plan\[0\].rate: 0 has to be above 0"),
-        (r"^rate = .*", "", r"fam.plan\[0\].rate: nothing is no number"),
-        (r"^units = .*", 'units = "weight"', "fam.units: 'weight' is not of one, class"),
+        (r"^rate = .*", 'rate = "fast"', r"wrong.toml: fam.plan\[0\].rate: 'fast' is neither a number"),
+        (
+            r"^rate = .*",
+            "rate = [3, 1]",
+            r"fam.plan\[0\].rate: \[3, 1\] is negative or not in ascending order",
+        ),
+        (r"^rate = .*", "rate = 0", r"fam.plan\[0\].rate: 0 must be above 0"),
+        (r"^rate = .*", "", r"fam.plan\[0\].rate: a missing value is neither a number"),
+        (r"^units = .*", 'units = "weight"', "fam.units: 'weight' is not one of: one, class"),
         (r"^counter = .*", "counter = 1", "fam.counter: 1 is neither true nor false"),
-        (r"^work_ms = .*", "work_ms = true", r"class\[0\].work_ms: True is no number"),
+        (r"^work_ms = .*", "work_ms = true", r"class\[0\].work_ms: True is neither a number"),
         (r"^aim_ms = .*", "aim_ms = 5000", r"wrong.toml: classes\[0\].aim: 5.0 is not within"),
         (r"^\[clients\]", "[customers]", "wrong.toml: clients: a table is needed"),
         (r"\[\[tenant\]\]\nname = .*\nshare = .*", "", "fam.plan: 3 plans for 2 tenants"),
-        (r"^price = .*", "price = [1, 2]", r"fam.plan\[0\].price: \[1, 2\] has to be one number"),
-        (r"^name = .*", "name = 4", r"class\[0\].name: 4 is no text"),
+        (r"^price = .*", "price = [1, 2]", r"fam.plan\[0\].price: \[1, 2\] must be a single number"),
+        (r"^name = .*", "name = 4", r"class\[0\].name: 4 is not a string"),
         (r"^units", "units units", "wrong.toml: "),
     ],
 )
-def test_a_mistake_in_a_site_file_is_named(
+def test_an_invalid_entry_of_a_site_file_is_named(
     tmp_path: Path, pattern: str, replacement: str, message: str
 ) -> None:
     path = edited_site(tmp_path, pattern, replacement)
@@ -381,7 +385,7 @@
         read_site(tmp_path / "none.toml")
 
 
-def test_the_grid_has_all_kinds_once() -> None:
+def test_the_grid_has_each_scenario_once() -> None:
     found = list(scenarios(GridAxes()))
     assert len(found) == len({scenario.name for scenario in found}) == 3 * 2 * 2 * 3 * 2
     assert len({scenario.overrides for scenario in found}) == len(found)
@@ -394,8 +398,8 @@
 SMALL = ("--gateways", "4", "--seconds", "2", "--processes", "1")
 
 
-def test_play_prints_a_line_a_day_and_the_means(tmp_path: Path) -> None:
-    report = tmp_path / "days.json"
+def test_play_prints_a_line_per_run_and_the_means(tmp_path: Path) -> None:
+    report = tmp_path / "runs.json"
     result = command("play", str(DEFAULT_SITE), "--seeds", "2", *SMALL, "--json", str(report))
     assert result.exit_code == 0, result.output
     lines = result.output.splitlines()
@@ -405,7 +409,7 @@
     assert f"over_quota {results[0]['figures']['over_quota']:.4f}" in lines[0]
 
 
-def test_grid_plays_only_the_kinds_asked_for() -> None:
+def test_grid_simulates_only_the_chosen_scenarios() -> None:
     chosen = ("--counter", "slow", "--meter", "off", "--sets", "wide", "--excess-cost", "1.5")
     result = command("grid", "--draws", "1", *chosen, *SMALL)
     assert result.exit_code == 0, result.output
@@ -415,17 +419,17 @@
     ]
 
 
-def test_a_wrong_argument_or_file_ends_with_two_and_one_line(tmp_path: Path) -> None:
+def test_an_invalid_argument_or_file_ends_with_exit_code_2_and_one_line(tmp_path: Path) -> None:
     missing = command("play", str(tmp_path / "none.toml"), *SMALL)
     assert (missing.exit_code, missing.output.count("\n")) == (2, 1)
     assert "none.toml: No such file" in missing.output
     assert command("play", str(DEFAULT_SITE), "--seeds", "0").exit_code == 2
     assert "in this order" in command("play", str(DEFAULT_SITE), "--sets", "0.9", "0.1", *SMALL).output
-    report = ("--json", str(tmp_path / "none" / "days.json"))
+    report = ("--json", str(tmp_path / "none" / "runs.json"))
     assert command("play", str(DEFAULT_SITE), *SMALL, *report).exit_code == 2
 
 
-def test_an_interrupt_keeps_and_prints_what_was_played(
+def test_an_interrupt_keeps_and_prints_the_finished_runs(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
     def interrupted(spec: RunSpec) -> RunFigures:
@@ -434,7 +438,7 @@
         return simulate(spec)
 
     monkeypatch.setattr("testbed.quota.plays.simulate", interrupted)
-    report = tmp_path / "days.json"
+    report = tmp_path / "runs.json"
     result = command("play", str(DEFAULT_SITE), "--seeds", "5", *SMALL, "--json", str(report))
     assert result.exit_code == 0
     assert "mean of 2" in result.output
