--- a/testbed/quota/plays.py
+++ b/testbed/quota/plays.py
@@ -65,4 +65,5 @@
 
 
 def _ignore_interrupts() -> None:
+    """Ignores SIGINT in a worker process; the parent handles it."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
