--- a/testbed/quota/__main__.py
+++ b/testbed/quota/__main__.py
@@ -1,4 +1,4 @@
-"""The command `python -m testbed.quota`: plays days of a deployment, or a grid of deployments."""
+"""The command `python -m testbed.quota`: simulates quota enforcement, for a site file or a grid."""
 
 from __future__ import annotations
 
@@ -11,48 +11,61 @@
 
 import click
 
-from testbed.quota.grid import DEFAULT_SITE, EXCESS_COSTS, Choices, Kind, kinds
-from testbed.quota.plays import Play, mean_figures, play_all
-from testbed.quota.report import DayFigures
+from testbed.quota.grid import DEFAULT_SITE, EXCESS_COSTS, GridAxes, Scenario, scenarios
+from testbed.quota.plays import RunSpec, mean_figures, simulate_all
+from testbed.quota.report import RunFigures
 from testbed.quota.site import Range, SiteError
-from testbed.quota.variation import CounterKind, Variation
+from testbed.quota.variation import CounterKind, SiteOverrides
 
 DEFAULT_PROCESSES = 3
 ON_OFF = click.Choice(["on", "off"])
-COUNTERS = click.Choice([kind.value for kind in CounterKind])
+COUNTER_KINDS = click.Choice([kind.value for kind in CounterKind])
 
 
 @dataclass(frozen=True, slots=True)
-class PlayedDay:
-    """A day that was played to its end."""
+class RunResult:
+    """Figures of a finished run, as written to the JSON file."""
 
-    kind: str
+    kind: str  # name of the scenario
     seed: int
-    figures: DayFigures
+    figures: RunFigures
 
 
 class InputError(click.ClickException):
-    """Something given to the command makes no sense; told in one line, with exit code 2."""
+    """An argument or a file is invalid; ends the command with one line and exit code 2."""
 
     exit_code = 2
 
 
 @click.group()
 def main() -> None:
-    """Plays the quotas of a fleet of gateways in simulated time, with the real decision module."""
+    """Simulates the quota enforcement of a fleet of gateways with the real decision module."""
 
 
 @main.command("play")
 @click.argument("site", type=click.Path(path_type=Path))
-@click.option("--seed", type=click.IntRange(0), default=1, show_default=True, help="Seed of the first day.")
-@click.option("--seeds", type=click.IntRange(1), default=1, show_default=True, help="Days to play.")
+@click.option("--seed", type=click.IntRange(0), default=1, show_default=True, help="Seed of the first run.")
+@click.option("--seeds", type=click.IntRange(1), default=1, show_default=True, help="Number of runs.")
 @click.option("--gateways", type=click.IntRange(1), default=200, show_default=True)
-@click.option("--seconds", type=click.FloatRange(1.0), default=22.0, show_default=True, help="Of a day.")
-@click.option("--counter", type=COUNTERS, help="In place of the site's own.")
-@click.option("--meter", type=ON_OFF, help="In place of the site's own.")
-@click.option("--sets", type=(float, float), metavar="LOW HIGH", help="Set sizes, as shares of the gateways.")
-@click.option("--excess-cost", type=click.FloatRange(0.0), help="Cost beyond quotas, times the worth.")
-@click.option("--settled-after", type=ON_OFF, help="Whether requests name guesses of their units.")
+@click.option(
+    "--seconds", type=click.FloatRange(1.0), default=22.0, show_default=True, help="Simulated time."
+)
+@click.option("--counter", type=COUNTER_KINDS, help="Overrides the site file.")
+@click.option("--meter", type=ON_OFF, help="Overrides the site file.")
+@click.option(
+    "--sets",
+    type=(float, float),
+    metavar="LOW HIGH",
+    help="Share of the gateways that are a customer's entry gateways.",
+)
+@click.option(
+    "--excess-cost",
+    type=click.FloatRange(0.0),
+    help="Cost of a request in excess of its quota, over its worth.",
+)
+@click.option(
+    "--settled-after", type=ON_OFF, help="Whether the units of requests are estimates that responses correct."
+)
 @click.option("--processes", type=click.IntRange(1), default=DEFAULT_PROCESSES, show_default=True)
 @click.option("--json", "json_file", type=click.Path(path_type=Path, dir_okay=False, writable=True))
 def play_command(
@@ -69,32 +82,36 @@
     processes: int,
     json_file: Path | None,
 ) -> None:
-    """Plays days of the deployment in the file SITE and prints a line for each, then the means."""
-    variation = Variation(
+    """Simulates runs of the deployment in the file SITE; prints the figures of each run and the means."""
+    overrides = SiteOverrides(
         counter=CounterKind(counter) if counter else None,
-        meter=_as_flag(meter),
-        sets=_set_sizes(sets),
+        meter=_parse_on_off(meter),
+        entry_share=_parse_share_range(sets),
         excess_cost=excess_cost,
-        settles_after=_as_flag(settled_after),
+        post_paid=_parse_on_off(settled_after),
     )
-    plays = [Play(site, seed + i, gateways, seconds, variation) for i in range(seeds)]
-    days = _play_and_print([(Kind(site.stem, variation), plays)], processes)
-    _write_json(json_file, days)
+    specs = [RunSpec(site, seed + i, gateways, seconds, overrides) for i in range(seeds)]
+    results = _simulate_and_print([(Scenario(site.stem, overrides), specs)], processes)
+    _write_json(json_file, results)
 
 
 @main.command("grid")
+@click.option("--site", type=click.Path(path_type=Path), default=DEFAULT_SITE, help="Site file to use.")
+@click.option("--draws", type=click.IntRange(1), default=2, show_default=True, help="Runs per scenario.")
+@click.option("--seed", type=click.IntRange(0), default=1, show_default=True, help="Seed of the first run.")
+@click.option("--gateways", type=click.IntRange(1), default=40, show_default=True)
+@click.option("--seconds", type=click.FloatRange(1.0), default=8.0, show_default=True, help="Simulated time.")
+@click.option("--counter", "counters", type=COUNTER_KINDS, multiple=True, help="Only these counters.")
+@click.option("--meter", type=ON_OFF, help="Only with, or only without, a meter.")
 @click.option(
-    "--site", type=click.Path(path_type=Path), default=DEFAULT_SITE, help="A site file of one's own."
+    "--sets", type=click.Choice(["small", "wide"]), help="Only small, or only wide, sets of entry gateways."
+)
+@click.option(
+    "--excess-cost", "costs", type=click.FloatRange(0.0), multiple=True, help="Only these excess costs."
+)
+@click.option(
+    "--settled-after", type=ON_OFF, help="Only with, or only without, units corrected by responses."
 )
-@click.option("--draws", type=click.IntRange(1), default=2, show_default=True, help="Days of each kind.")
-@click.option("--seed", type=click.IntRange(0), default=1, show_default=True, help="Seed of the first day.")
-@click.option("--gateways", type=click.IntRange(1), default=40, show_default=True)
-@click.option("--seconds", type=click.FloatRange(1.0), default=8.0, show_default=True, help="Of a day.")
-@click.option("--counter", "counters", type=COUNTERS, multiple=True, help="Only these kinds.")
-@click.option("--meter", type=ON_OFF, help="Only with or only without.")
-@click.option("--sets", type=click.Choice(["small", "wide"]), help="Only these sizes.")
-@click.option("--excess-cost", "costs", type=click.FloatRange(0.0), multiple=True, help="Only these costs.")
-@click.option("--settled-after", type=ON_OFF, help="Only settled afterwards, or only before.")
 @click.option("--processes", type=click.IntRange(1), default=DEFAULT_PROCESSES, show_default=True)
 @click.option("--json", "json_file", type=click.Path(path_type=Path, dir_okay=False, writable=True))
 def grid_command(
@@ -111,61 +128,63 @@
     processes: int,
     json_file: Path | None,
 ) -> None:
-    """Plays days of each kind of deployment and prints the means of each kind."""
-    every = Choices()
-    choices = replace(
-        every,
-        counters=tuple(CounterKind(name) for name in counters) or every.counters,
-        meters=every.meters if meter is None else (meter == "on",),
-        wide=every.wide if sets is None else (sets == "wide",),
+    """Simulates runs of each scenario and prints the means of each scenario."""
+    all_axes = GridAxes()
+    axes = replace(
+        all_axes,
+        counters=tuple(CounterKind(name) for name in counters) or all_axes.counters,
+        meters=all_axes.meters if meter is None else (meter == "on",),
+        wide_sets=all_axes.wide_sets if sets is None else (sets == "wide",),
         excess_costs=costs or EXCESS_COSTS,
-        settling=every.settling if settled_after is None else (settled_after == "on",),
+        post_paid=all_axes.post_paid if settled_after is None else (settled_after == "on",),
     )
-    wanted = [
-        (kind, [Play(site, seed + i, gateways, seconds, kind.variation) for i in range(draws)])
-        for kind in kinds(choices)
+    planned = [
+        (scenario, [RunSpec(site, seed + i, gateways, seconds, scenario.overrides) for i in range(draws)])
+        for scenario in scenarios(axes)
     ]
-    days = _play_and_print(wanted, processes, each_day=False)
-    _write_json(json_file, days)
+    results = _simulate_and_print(planned, processes, print_each_run=False)
+    _write_json(json_file, results)
 
 
-def _play_and_print(
-    wanted: list[tuple[Kind, list[Play]]], processes: int, each_day: bool = True
-) -> list[PlayedDay]:
-    """Plays all days; an interrupt ends it early and keeps what was played."""
-    played: list[PlayedDay] = []
-    total = sum(len(plays) for _, plays in wanted)
-    days = _named_days(wanted, processes)
+def _simulate_and_print(
+    planned: list[tuple[Scenario, list[RunSpec]]], processes: int, print_each_run: bool = True
+) -> list[RunResult]:
+    """Simulates all runs and prints their figures; an interrupt ends it early and keeps the finished runs."""
+    finished: list[RunResult] = []
+    total_runs = sum(len(specs) for _, specs in planned)
+    results = _run_results(planned, processes)
     try:
-        for kind, plays in wanted:
-            of_kind: list[PlayedDay] = []
+        for scenario, specs in planned:
+            scenario_results: list[RunResult] = []
             try:
-                for day in itertools.islice(days, len(plays)):
-                    of_kind.append(day)
-                    if each_day:
-                        click.echo(f"seed {day.seed:<5} {_line(day.figures)}")
+                for result in itertools.islice(results, len(specs)):
+                    scenario_results.append(result)
+                    if print_each_run:
+                        click.echo(f"seed {result.seed:<5} {_figures_line(result.figures)}")
             finally:
-                played += of_kind
-                if of_kind:
-                    name = f"mean of {len(of_kind)}" if each_day else kind.name
-                    click.echo(f"{name:10} {_line(mean_figures(day.figures for day in of_kind))}")
+                finished += scenario_results
+                if scenario_results:
+                    name = f"mean of {len(scenario_results)}" if print_each_run else scenario.name
+                    click.echo(
+                        f"{name:10} {_figures_line(mean_figures(r.figures for r in scenario_results))}"
+                    )
     except KeyboardInterrupt:
-        click.echo(f"interrupted: {len(played)} of {total} days played", err=True)
+        click.echo(f"interrupted: {len(finished)} of {total_runs} runs finished", err=True)
     except SiteError as error:
         raise InputError(str(error)) from error
     finally:
-        days.close()
-    return played
+        results.close()
+    return finished
 
 
-def _named_days(wanted: list[tuple[Kind, list[Play]]], processes: int) -> Generator[PlayedDay]:
-    plays = [(kind, play) for kind, plays in wanted for play in plays]
-    figures = play_all((play for _, play in plays), processes)
-    for (kind, play), of_day in zip(plays, figures, strict=True):
-        yield PlayedDay(kind.name, play.seed, of_day)
+def _run_results(planned: list[tuple[Scenario, list[RunSpec]]], processes: int) -> Generator[RunResult]:
+    specs = [(scenario, spec) for scenario, specs in planned for spec in specs]
+    figures = simulate_all((spec for _, spec in specs), processes)
+    for (scenario, spec), run_figures in zip(specs, figures, strict=True):
+        yield RunResult(scenario.name, spec.seed, run_figures)
 
 
-def _line(figures: DayFigures) -> str:
+def _figures_line(figures: RunFigures) -> str:
     plans = " ".join(f"{share:.3f}" for share in figures.served_by_plan)
     return (
         f"over_quota {figures.over_quota:.4f}  served {figures.served:.3f}  "
@@ -175,23 +194,23 @@
     )
 
 
-def _write_json(json_file: Path | None, days: list[PlayedDay]) -> None:
+def _write_json(json_file: Path | None, results: list[RunResult]) -> None:
     if json_file is None:
         return
     try:
-        json_file.write_text(json.dumps([asdict(day) for day in days], indent=1) + "\n")
+        json_file.write_text(json.dumps([asdict(result) for result in results], indent=1) + "\n")
     except OSError as error:
         raise InputError(f"{json_file}: {error.strerror}") from error
 
 
-def _as_flag(given: str | None) -> bool | None:
-    return None if given is None else given == "on"
+def _parse_on_off(value: str | None) -> bool | None:
+    return None if value is None else value == "on"
 
 
-def _set_sizes(given: tuple[float, float] | None) -> Range | None:
-    if given is None:
+def _parse_share_range(value: tuple[float, float] | None) -> Range | None:
+    if value is None:
         return None
-    low, high = given
+    low, high = value
     if not 0 <= low <= high <= 1:
         raise InputError(f"--sets {low} {high}: LOW and HIGH are shares from 0 to 1, in this order")
     return Range(low, high)
--- a/testbed/quota/draws.py
+++ b/testbed/quota/draws.py
@@ -1,4 +1,4 @@
-"""Random draws from the ranges of a site file."""
+"""Seeded random draws from the ranges of a site file."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 from testbed.quota.site import Range
 
 
-class Draw:
-    """A stream of draws of its own for each purpose, so that a change to one leaves the others alone."""
+class RandomStream:
+    """Random numbers for one purpose: what one purpose draws does not change the draws of the others."""
 
     def __init__(self, seed: int, purpose: str) -> None:
         self.random = Random(f"{seed}/{purpose}")
 
-    def within(self, bounds: Range) -> float:
-        """A value drawn evenly from a range."""
+    def uniform(self, bounds: Range) -> float:
+        """A value drawn uniformly from a range."""
         return self.random.uniform(bounds.low, bounds.high)
 
-    def whole(self, bounds: Range) -> int:
-        """A value drawn evenly from a range, rounded down."""
-        return int(self.within(bounds))
+    def uniform_int(self, bounds: Range) -> int:
+        """A value drawn uniformly from a range, rounded down."""
+        return int(self.uniform(bounds))
 
-    def pick(self, options: Sequence[str]) -> str:
-        """One of several words, each as likely."""
+    def choice(self, options: Sequence[str]) -> str:
+        """One of the options, all equally likely."""
         return self.random.choice(options)
