--- a/testbed/soak/__main__.py
+++ b/testbed/soak/__main__.py
@@ -33,7 +33,7 @@
 
 def print_result(result: RunResult, seconds: float, records: Path) -> None:
     """Prints a run's figures and, if it failed, its violations and the command that repeats it."""
-    figures = f"{result.requests} requests, {result.answers} responses, {result.starts} gateway starts"
+    figures = f"{result.requests} requests, {result.responses} responses, {result.starts} gateway starts"
     click.echo(f"seed {result.seed}: {figures}, {result.seconds:.1f} s, {len(result.violations)} violations")
     for violation in result.violations[:MAX_PRINTED_VIOLATIONS]:
         click.echo(f"    {violation}")
--- a/testbed/soak/checker.py
+++ b/testbed/soak/checker.py
@@ -1,8 +1,8 @@
 """Checks the record of a run against rules that gateways must keep.
 
-The record holds what clients, hosts, discovery and counter saw, so no statement of a gateway is relied on.
-The time limits are those of the protocol. They are extended by injected stalls and by lags of the test's
-event loop within them, as the gateway causes neither.
+The record holds what clients, hosts, discovery and counter saw; nothing is taken from the gateways but the
+errors in their logs. The time limits are those of the protocol. They are extended by injected stalls and by
+lags of the test's event loop within them, as the gateway causes neither.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 LATE_RESPONSE_GRACE_S = 0.5  # after a client's timeout, for which a response is late but no violation
 ABANDON_GRACE_S = 0.1  # after a client has left, for which an attempt may still begin
-TIMING_TOLERANCE_S = 0.05  # added to all time limits, as sockets and processes take time
+TIMING_TOLERANCE_S = 0.05  # added to most time limits, as sockets take time
 MAX_PROPAGATION_DELAY_S = 6.0  # after which the gateway must know a change of the host list
 X_TIMEOUT_TOLERANCE_S = 0.15  # by which an attempt's X-Timeout may exceed the client's remaining time
 MAX_START_TIME_S = 10.0  # until a process is ready
@@ -28,7 +28,7 @@
 
 
 class Rule(StrEnum):
-    """Rules that a violation may break."""
+    """The rules that gateways must keep."""
 
     NO_RESPONSE = "no response to a request in time"
     DUPLICATE_RESPONSE = "more than one response to a request"
--- a/testbed/soak/clients.py
+++ b/testbed/soak/clients.py
@@ -174,12 +174,12 @@
 
     async def _send(self, request: Request, connection: Connection, resent: bool) -> bool:
         """Sends a request and records what comes back; returns whether it must be resent."""
-        gateway, kept = connection.gateway, connection.requests_sent > 0
+        gateway, reused = connection.gateway, connection.requests_sent > 0
         connection.requests_sent += 1
         sent = r.RequestSent(
             at=time.monotonic(), request=request.id, gateway=gateway.index, start=connection.start,
             repeat=request.idempotency, patience=request.timeout, customer=request.customer,
-            units=float(request.units), kept=kept, resent=resent,
+            units=float(request.units), kept=reused, resent=resent,
         )  # fmt: skip
         connection.writer.write(request.encode(self.entry_gateways))
         self.add_entry(sent)
@@ -195,7 +195,7 @@
         except (OSError, asyncio.IncompleteReadError) as error:
             is_partial = isinstance(error, asyncio.IncompleteReadError) and bool(error.partial)
             connection.writer.close()
-            resend = kept and not resent and not is_partial
+            resend = reused and not resent and not is_partial
             if not resend:
                 self.add_entry(r.ConnectionEnded(time.monotonic(), request.id, is_partial))
             return resend
--- a/testbed/soak/record.py
+++ b/testbed/soak/record.py
@@ -31,7 +31,7 @@
     customer: int
     units: float  # quota units
     kept: bool  # on a connection that had carried a request before
-    resent: bool  # the second time, as a kept connection had ended without a response
+    resent: bool  # the second time, as the reused connection had ended without a response
 
 
 class Answered(Entry, frozen=True):
--- a/testbed/soak/run.py
+++ b/testbed/soak/run.py
@@ -131,9 +131,9 @@
         calls_before = {customer: self._count_calls(customer) for customer in AUDITED_CUSTOMERS}
         for number in range(MAX_FLUSH_ROUNDS):
             for customer in calls_before:
-                name = f"f{customer}-{number}"
+                request_id = f"f{customer}-{number}"
                 clients.start_request(
-                    Request(name, "safe", PLANS[0], customer, 1, self.plan.client_timeout, None)
+                    Request(request_id, "safe", PLANS[0], customer, 1, self.plan.client_timeout, None)
                 )
             await clients.finish()
             calls_before = {
--- a/testbed/soak/series.py
+++ b/testbed/soak/series.py
@@ -30,7 +30,7 @@
 
     seed: int
     requests: int = 0
-    answers: int = 0
+    responses: int = 0
     starts: int = 0  # of gateway processes
     seconds: float = 0.0  # that the run took
     violations: tuple[Violation, ...] = ()
@@ -57,7 +57,7 @@
     return RunResult(
         seed=seed,
         requests=len(record.of(RequestSent)),
-        answers=len(record.of(Answered)),
+        responses=len(record.of(Answered)),
         starts=len(record.of(ProcessStarted)),
         seconds=time.monotonic() - begin,
         violations=() if failure else tuple(check(record)),
@@ -77,9 +77,8 @@
 
 
 def _run_and_send(seed: int, seconds: float, folder: Path, results: Connection) -> None:
-    signal.signal(
-        signal.SIGINT, signal.SIG_IGN
-    )  # an interrupt reaches all processes; the parent ends the runs
+    # An interrupt at the terminal reaches all processes; the parent then stops the runs.
+    signal.signal(signal.SIGINT, signal.SIG_IGN)
     results.send(run_seed(seed, seconds, folder))
 
 
--- a/testbed/standins/discovery.py
+++ b/testbed/standins/discovery.py
@@ -37,7 +37,7 @@
 
     agent: Agent
     writer: asyncio.StreamWriter
-    index: int  # of the list that it has sent last; -1: none
+    index: int  # of the list that the gateway has; -1: none
     silent: bool = False  # stays open and sends nothing more
     changed: asyncio.Event = field(default_factory=asyncio.Event)
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -52,7 +52,7 @@
 def test_real_gateways_violate_no_rule(tmp_path: Path, seed: int) -> None:
     result = run_seed(seed, SECONDS, tmp_path / str(seed))
     assert result.failure is None
-    assert result.answers > 100 and result.starts >= 3
+    assert result.responses > 100 and result.starts >= 3
     assert [str(violation) for violation in result.violations] == []
 
 
--- a/tests/test_soak_checker.py
+++ b/tests/test_soak_checker.py
@@ -17,20 +17,20 @@
 MEMORY = 20 * 2**20  # bytes
 
 
-def sent(at: float, name: str = "q1", **more: object) -> r.RequestSent:
+def sent(at: float, request: str = "q1", **more: object) -> r.RequestSent:
     fields: dict[str, object] = {
         "gateway": 0, "start": 0, "repeat": "safe", "patience": 2.0, "customer": CUSTOMER, "units": 1.0,
         "kept": False, "resent": False, **more,
     }  # fmt: skip
-    return r.RequestSent(at, name, **fields)  # type: ignore[arg-type]
+    return r.RequestSent(at, request, **fields)  # type: ignore[arg-type]
 
 
-def arrived(at: float, name: str = "q1", host: str = "h1", patience: float = 1.9) -> r.AttemptArrived:
-    return r.AttemptArrived(at, name, host, 0.0, at, patience)
+def arrived(at: float, request: str = "q1", host: str = "h1", patience: float = 1.9) -> r.AttemptArrived:
+    return r.AttemptArrived(at, request, host, 0.0, at, patience)
 
 
-def answered(at: float, name: str = "q1", status: int = 200, is_own: bool = True) -> r.Answered:
-    return r.Answered(at, name, status, is_own)
+def answered(at: float, request: str = "q1", status: int = 200, is_own: bool = True) -> r.Answered:
+    return r.Answered(at, request, status, is_own)
 
 
 def called(at: float, amount: float = 1.0, added: bool = True, certain: bool = True) -> r.CounterCalled:
@@ -75,7 +75,7 @@
     ]
 
 
-def test_no_response_is_due_after_a_crash_or_to_a_client_that_left_or_was_not_read() -> None:
+def test_a_missing_response_is_excused_by_a_kill_a_client_that_left_or_a_connection_flood() -> None:
     killed = r.ProcessSignalled(2.1, 0, 0, "SIGKILL", False)
     exited = r.ProcessExited(2.2, 0, 0, -9)
     assert violated_rules(sent(2.0, "q2", customer=9), killed, exited) == []
