--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -7,14 +7,14 @@
 from helpers import PLAN, Bench
 
 from coralvale import interface as api
-from coralvale.shared_quota import CONGESTION_BORNE, NUMBER_LIFETIME, TRUST_EACH
+from coralvale.shared_quota import COUNTER_ENTRY_ROTATION_S, COVERAGE_ALL_REQUESTS, TARGET_CONGESTION
 
 MANY = 40  # gateways that receive requests of one customer
 
 
 def bench_with_counter(**more: object) -> Bench:
     bench = Bench(gateways=100, may_count=True, counter_timeout=0.05, **more)
-    bench.gateway.admission.shared.trust = 1.0
+    bench.gateway.admission.shared_quota.coverage = 1.0
     return bench
 
 
@@ -115,11 +115,11 @@
 
 
 def test_if_two_gateways_fill_up_an_idle_bucket_at_once_one_takes_it_back() -> None:
-    benches, calls, total = make_benches(2, now=1000.0 + 0.9 * NUMBER_LIFETIME), [], 0.0
+    benches, calls, total = make_benches(2, now=1000.0 + 0.9 * COUNTER_ENTRY_ROTATION_S), [], 0.0
     for bench in benches:
         total += request_with_call(bench, customer=97)[1].amount
     for bench in benches:
-        (name,) = bench.gateway.admission.shared.pending
+        (name,) = bench.gateway.admission.shared_quota.pending
         calls += [a for a in bench.feed(api.CounterReply(name, True, total)) if isinstance(a, api.CounterAdd)]
     assert len(calls) == 2 and min(c.amount for c in calls) > PLAN.burst
     undone = []
@@ -140,19 +140,19 @@
 
 def test_calls_about_a_refused_customer_back_off_with_the_counters_congestion() -> None:
     drain_time = PLAN.burst / PLAN.rate
-    for congestion, backoff in ((0.0, 0.0), (CONGESTION_BORNE / 2, drain_time / 2), (1.0, drain_time)):
+    for congestion, backoff in ((0.0, 0.0), (TARGET_CONGESTION / 2, drain_time / 2), (1.0, drain_time)):
         bench = bench_with_counter()
         _, call = request_with_call(bench)
-        shared = bench.gateway.admission.shared
+        shared = bench.gateway.admission.shared_quota
         bucket = shared.pending[call.name][0].bucket
         shared.congestion = congestion
-        full = PLAN.burst + PLAN.rate * (bench.now - bucket.began) + 0.1  # full; has room after 0.025 s
+        full = PLAN.burst + PLAN.rate * (bench.now - bucket.started_at) + 0.1  # full; has room after 0.025 s
         bench.feed(api.CounterReply(call.name, True, full))
         refused_at = bench.now
-        shared.trust = TRUST_EACH
+        shared.coverage = COVERAGE_ALL_REQUESTS
         while not isinstance(bench.request(entry_gateways=MANY)[1][0], api.CounterAdd):
             bench.now += 0.05
-            shared.trust = TRUST_EACH
+            shared.coverage = COVERAGE_ALL_REQUESTS
         assert bench.now - refused_at == pytest.approx(backoff, abs=0.11)
 
 
@@ -160,7 +160,7 @@
     """While the call is outstanding, the customer may name a plan without a rate by mistake."""
     bench = bench_with_counter(plans=(PLAN, replace(PLAN, name="open", rate=0.0, burst=0.0, open_limit=2.0)))
     _, call = request_with_call(bench)
-    bench.gateway.admission.shared.congestion = 1.0
+    bench.gateway.admission.shared_quota.congestion = 1.0
     bench.request(plan_index=1, entry_gateways=MANY)
     assert api.Refuse in [type(a) for a in bench.feed(api.CounterReply(call.name, True, 1e6))]
 
@@ -170,20 +170,22 @@
     for customer in range(100):
         bench.wait(0.1)
         _, call = request_with_call(bench, customer=customer)
-        bucket = bench.gateway.admission.shared.pending[call.name][0].bucket
+        bucket = bench.gateway.admission.shared_quota.pending[call.name][0].bucket
         bench.now += 0.001 if customer == 0 else 0.01  # s, of a timeout of 0.05 s
-        empty = call.amount + PLAN.rate * (bench.now - bucket.began)
+        empty = call.amount + PLAN.rate * (bench.now - bucket.started_at)
         assert [type(a) for a in bench.feed(api.CounterReply(call.name, True, empty))] == [api.Send]
-    assert bench.gateway.admission.shared.trust == TRUST_EACH
+    assert bench.gateway.admission.shared_quota.coverage == COVERAGE_ALL_REQUESTS
 
 
 def test_after_the_shared_bucket_was_full_the_gateways_own_bucket_admits_nothing() -> None:
     bench = bench_with_counter()
     _, call = request_with_call(bench)
-    bench.feed(api.CounterReply(call.name, True, call.amount + PLAN.rate * NUMBER_LIFETIME + PLAN.burst))
+    bench.feed(
+        api.CounterReply(call.name, True, call.amount + PLAN.rate * COUNTER_ENTRY_ROTATION_S + PLAN.burst)
+    )
     bench.wait(12.0)  # until the next request at this gateway
-    bench.gateway.admission.shared.trust = 0.0
-    assert bench.gateway.admission.restrictors[1].wait(1.0) == 0.0
+    bench.gateway.admission.shared_quota.coverage = 0.0
+    assert bench.gateway.admission.restrictors[1].bucket_wait(1.0) == 0.0
     assert [type(a) for a in bench.request(entry_gateways=MANY)[1]] == [api.Refuse]
 
 
@@ -202,12 +204,12 @@
     bench = bench_with_counter()
     _, call = request_with_call(bench)
     bench.feed(api.CounterReply(call.name, False, 0.0))  # not added; admitted by the gateway's own bucket
-    bench.gateway.admission.shared.trust = 1.0
+    bench.gateway.admission.shared_quota.coverage = 1.0
     assert request_with_call(bench)[1].amount == 2.0
     bench = bench_with_counter()
     _, call = request_with_call(bench)
     bench.feed(api.CounterReply(call.name, False, 0.0, maybe_added=True))  # the counter may have it
-    bench.gateway.admission.shared.trust = 1.0
+    bench.gateway.admission.shared_quota.coverage = 1.0
     assert request_with_call(bench)[1].amount == 1.0
 
 
@@ -230,8 +232,8 @@
 def test_a_pool_without_room_is_not_called_again_until_it_has_room() -> None:
     bench = bench_with_counter(plans=(replace(CAPPED, excess_cost=0.0),))  # no calls but those to the pool
     _, call = request_with_call(bench)
-    began = bench.gateway.admission.shared.pending[call.name][0].bucket.began
-    rate, most = bench.gateway.admission.restrictors[1].pool
+    began = bench.gateway.admission.shared_quota.pending[call.name][0].bucket.started_at
+    rate, most = bench.gateway.admission.restrictors[1].pool_limits
     total = rate * (bench.now - began) + most + rate + call.amount  # has room after about 1 s
     actions = bench.feed(api.CounterReply(call.name, True, total))
     assert [a.amount for a in actions if isinstance(a, api.CounterAdd)] == [-1.0]
@@ -269,7 +271,7 @@
     name, _ = request_with_call(bench)
     sends = [a for a in bench.wait(0.3) if isinstance(a, api.Send)]
     assert [s.request for s in sends] == [name]
-    assert bench.gateway.admission.shared.pending == {}
+    assert bench.gateway.admission.shared_quota.pending == {}
 
 
 def test_a_failing_counter_is_called_less_and_less_until_it_works_again() -> None:
@@ -301,14 +303,14 @@
         _, call = request_with_call(bench, customer=customer)
         bench.now += 0.03  # s for each call, of a timeout of 0.05 s
         bench.feed(api.CounterReply(call.name, True, call.amount))
-    assert bench.gateway.admission.shared.trust == TRUST_EACH
+    assert bench.gateway.admission.shared_quota.coverage == COVERAGE_ALL_REQUESTS
 
 
 def test_under_congestion_a_sample_of_the_small_requests_stands_for_all_of_them() -> None:
-    for trust, low, high in ((1.0, 0.2, 0.3), (1.5, 0.57, 0.68), (TRUST_EACH, 1.0, 1.0)):
+    for coverage, low, high in ((1.0, 0.2, 0.3), (1.5, 0.57, 0.68), (COVERAGE_ALL_REQUESTS, 1.0, 1.0)):
         bench, amounts = bench_with_counter(max_units=4.0), list[float]()
         for customer in range(1000):
-            bench.gateway.admission.shared.trust = trust
+            bench.gateway.admission.shared_quota.coverage = coverage
             action = bench.request(customer=customer, entry_gateways=MANY)[1][0]
             if isinstance(action, api.CounterAdd):
                 amounts.append(action.amount)
@@ -329,10 +331,10 @@
 def test_a_sampled_request_stands_only_for_itself_while_the_gateways_own_bucket_is_full() -> None:
     bench, amounts = bench_with_counter(max_units=4.0), list[float]()
     for customer in range(100):
-        bench.gateway.admission.shared.trust = 1.0
+        bench.gateway.admission.shared_quota.coverage = 1.0
         bench.request(customer=customer, entry_gateways=MANY)
         restrictor = bench.gateway.admission.restrictors[customer]
-        restrictor.fill, restrictor.unreported = 2 * PLAN.burst, 0.0
+        restrictor.fill, restrictor.unreported_units = 2 * PLAN.burst, 0.0
         action = bench.request(customer=customer, entry_gateways=MANY)[1][0]
         assert isinstance(action, api.CounterAdd | api.Refuse)
         if isinstance(action, api.CounterAdd):
@@ -345,14 +347,14 @@
     """A sampled request is added for others too; they give back their units as it gives back its own."""
     bench, added, unreported_units = bench_with_counter(max_units=4.0, hosts=()), 0.0, 0.0
     for customer in range(1000):
-        bench.gateway.admission.shared.trust = 1.0
+        bench.gateway.admission.shared_quota.coverage = 1.0
         action = bench.request(customer=customer, entry_gateways=MANY)[1][0]
         if isinstance(action, api.CounterAdd):
-            began = bench.gateway.admission.shared.pending[action.name][0].bucket.began
+            began = bench.gateway.admission.shared_quota.pending[action.name][0].bucket.started_at
             empty = action.amount + PLAN.rate * (bench.now - began)
             assert [type(a) for a in bench.feed(api.CounterReply(action.name, True, empty))] == [api.Refuse]
             added += action.amount
-        unreported_units += bench.gateway.admission.restrictors[customer].unreported
+        unreported_units += bench.gateway.admission.restrictors[customer].unreported_units
     assert unreported_units == -1000.0
     assert 0.9 <= added / 1000 <= 1.1
 
@@ -368,7 +370,7 @@
     for fill, admitted in ((PLAN.burst - 1.0, True), (PLAN.burst - 0.5, False)):
         bench = bench_with_counter(max_units=4.0)
         call = first_sampled_call(bench)
-        began = bench.gateway.admission.shared.pending[call.name][0].bucket.began
+        began = bench.gateway.admission.shared_quota.pending[call.name][0].bucket.started_at
         total = call.amount + fill + PLAN.rate * (bench.now - began)
         actions = bench.feed(api.CounterReply(call.name, True, total))
         assert (api.Send in [type(a) for a in actions]) is admitted
@@ -379,7 +381,7 @@
     for bench in make_benches(3, now=100.0):
         asked = set()
         for customer in range(200):
-            bench.gateway.admission.shared.trust = 0.3
+            bench.gateway.admission.shared_quota.coverage = 0.3
             if isinstance(bench.request(customer=customer, entry_gateways=MANY)[1][0], api.CounterAdd):
                 asked.add(customer)
         counted.append(asked)
@@ -393,7 +395,7 @@
     bench.feed(api.RequestAbandoned(name))
     assert bench.feed(api.CounterReply(call.name, True, 1.0)) == []
     assert bench.feed(api.CounterReply(call.name, True, 1.0)) == []  # no call is outstanding
-    assert bench.gateway.admission.shared.pending == {} and bench.gateway.requests == {}
+    assert bench.gateway.admission.shared_quota.pending == {} and bench.gateway.requests == {}
 
 
 def test_a_client_that_leaves_takes_back_its_own_units_only() -> None:
@@ -409,8 +411,8 @@
 
 def test_a_counter_that_works_again_is_soon_used_again() -> None:
     bench, counter = bench_with_counter(), FakeCounter()
-    bench.gateway.admission.shared.trust = 0.05
+    bench.gateway.admission.shared_quota.coverage = 0.05
     for customer in range(100):
         bench.wait(0.1)
         counter.answer_calls(bench, bench.request(customer=customer, entry_gateways=MANY)[1])
-    assert bench.gateway.admission.shared.trust > 0.5
+    assert bench.gateway.admission.shared_quota.coverage > 0.5
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -892,7 +892,7 @@
             entry("s-1", host.port), real_module=True, packages=[plan], family_info=family, n_instances=1
         ) as w:
             started, go = hold_connects(w.node.upstreams)
-            w.node.gateway.admission.born = -math.inf  # the ceiling allows its whole burst
+            w.node.gateway.admission.started_at = -math.inf  # the ceiling allows its whole burst
             quota = {"Quota_Info": "units=1,spread=1,first=0"}
             first, second = await w.client(), await w.client()
             first.send(request("r1", **quota))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -58,7 +58,7 @@
     name, _ = bench.request()
     assert_only(bench.done(name, api.Outcome.CONNECT_FAILED), api.Send)
     assert bench.done(name, api.Outcome.CONNECT_FAILED) == []
-    assert bench.gateway.admission.restrictors[1].open == 1
+    assert bench.gateway.admission.restrictors[1].open_attempts == 1
 
 
 def test_no_retry_is_sent_after_the_client_has_left() -> None:
