--- a/coralvale/health.py
+++ b/coralvale/health.py
@@ -26,10 +26,8 @@
         self.outstanding: dict[tuple[str, int], float] = {}
         # Moving average of its delays, each divided by the mean delay of the class.
         self.delay_ratio, self.last_response_at = 1.0, now
-        self.failures, self.backoff_until = (
-            0.0,
-            0.0,
-        )  # `failures`: recent ones, at most 4; a success halves them
+        # Recent failures, at most 4, halved by each success; and when the host is no longer avoided for them.
+        self.failures, self.backoff_until = 0.0, 0.0
         self.broken_connections = 0  # since its last response
         self.reported_load, self.load_reported_at = 0.0, -math.inf  # requests, from its load reports
 
