--- a/coralvale/net/server.py
+++ b/coralvale/net/server.py
@@ -81,7 +81,7 @@
         self.connection = connection
         self.method = self.target = self.body = b""
         self.headers: list[tuple[bytes, bytes]] = []  # as received
-        self.header_values: dict[bytes, bytes] = {}  # by name in lower case
+        self.header_values: dict[bytes, bytes] = {}  # by name in lower case, see `on_header`
         self.response_head: bytes | None = None  # without the end, which `flush` adds
         self.response_body = b""
         self.close_after = False  # whether the connection closes after the response
@@ -194,7 +194,7 @@
 
 
 def has_event(descriptor: int, event: int = select.POLLIN) -> bool:
-    """Polls a descriptor directly, as the loop may not have reported the event yet."""
+    """Whether the kernel has an event for a descriptor, even if the loop has not reported it yet."""
     poll = select.poll()
     poll.register(descriptor, event)
     return bool(poll.poll(0))
@@ -231,9 +231,7 @@
         self.error_status = 0  # status of the error response that ends this connection
         self.reading_paused = self.closing = False  # closing: nothing more is read or answered
         self.write_blocked_since: float | None = None  # since when the write buffer has been full
-        self.is_overflow = (
-            False  # accepted beyond the limit: its first /api request is answered 503, and it closes
-        )
+        self.is_overflow = False  # accepted beyond `max_connections`: /api is answered 503, then it closes
         self.backlog_wait = 0.0  # maximum s that it may have waited in the kernel, with its first request
 
     def connection_made(self, transport: Any) -> None:  # noqa: ANN401
@@ -279,7 +277,7 @@
             self.transport.resume_reading()
 
     def _reply_error(self) -> None:
-        """Adds the error response as the last one. Nothing more is read, as 60 MB may still follow."""
+        """Adds the error response as the last one and reads no more: 60 MB of body may still follow."""
         exchange = Exchange(self)
         exchange.close_after = True
         self.exchanges.append(exchange)
--- a/coralvale/net/upstream.py
+++ b/coralvale/net/upstream.py
@@ -424,7 +424,7 @@
         attempt.end(outcome if written else Outcome.NOT_SENT)
 
     def make_room(self) -> bool:
-        """Whether a connection may be opened; at the limit, closes the one that has been idle longest."""
+        """At the limit, closes the connection that has been idle longest; returns whether there is room."""
         if self.open_count < self.max_connections:
             return True
         oldest = min(
