--- a/coralvale/net/discovery.py
+++ b/coralvale/net/discovery.py
@@ -53,7 +53,7 @@
     address: Address
 
     @property
-    def instance(self) -> HostInstance:
+    def host_instance(self) -> HostInstance:
         return self.host.id, self.host.started_at, self.address
 
     @property
@@ -154,7 +154,9 @@
             listed[name] = endpoint
         self.endpoints = listed
         # A host that drains, is gone, has restarted or moved: its idle connections are of no more use.
-        retired = [old.instance for name, old in before.items() if self._is_retired(old, listed.get(name))]
+        retired = [
+            old.host_instance for name, old in before.items() if self._is_retired(old, listed.get(name))
+        ]
         # Without a valid index the next watch starts with the full list.
         self.index = index if type(index) is int and index >= 0 else None
         if cached or full or changed:
--- a/coralvale/net/node.py
+++ b/coralvale/net/node.py
@@ -61,7 +61,7 @@
 
     __slots__ = (
         "answered",
-        "arrival",
+        "request",
         "attempts",
         "exchange",
         "expires_at",
@@ -71,8 +71,8 @@
         "last_timed_out",
     )
 
-    def __init__(self, exchange: Exchange, arrival: ParsedRequest, expires_at: float) -> None:
-        self.exchange, self.arrival, self.expires_at = exchange, arrival, expires_at
+    def __init__(self, exchange: Exchange, request: ParsedRequest, expires_at: float) -> None:
+        self.exchange, self.request, self.expires_at = exchange, request, expires_at
         self.attempts: list[Attempt] = []
         self.outstanding = 0  # attempts that have not ended
         # `answered`: the client is answered or gone; `last_timed_out`: the attempt that ended last timed out.
@@ -99,8 +99,8 @@
         self.timer_delays: dict[int, float] = {}
         sockets = descriptor_limit(config.sockets)
         share = (sockets - min(RESERVED_DESCRIPTORS, sockets // 4)) // 2  # for clients and for hosts each
-        surplus = share // 8  # client connections that only get a 503
-        self.server = Server(config.listen, config.settings, self, share - surplus, surplus)
+        overflow = share // 8  # client connections that only get a 503
+        self.server = Server(config.listen, config.settings, self, share - overflow, overflow)
         self.upstreams = Upstreams(
             self.clock, config.connect_timeout, config.conn_idle, share, config.settings.load_report_fields
         )
@@ -218,24 +218,24 @@
             return
         if (
             pending.may_have_run
-            and self.settings.classes[pending.arrival.class_index].idempotency is not api.Idempotency.SAFE
+            and self.settings.classes[pending.request.class_index].idempotency is not api.Idempotency.SAFE
         ):
             self._reply(pending, 504 if pending.last_timed_out else 502)
         else:
             self._reply(pending, 503, retry_after=self.settings.retry_after_limit)
-        self.dispatch(api.RequestAbandoned(pending.arrival.id))
+        self.dispatch(api.RequestAbandoned(pending.request.id))
 
-    def _reply(self, pending: PendingRequest, status: int, **answer: Any) -> None:  # noqa: ANN401
+    def _reply(self, pending: PendingRequest, status: int, **response: Any) -> None:  # noqa: ANN401
         if not pending.answered:
             pending.answered = True
-            pending.exchange.reply(status, **answer)
+            pending.exchange.reply(status, **response)
             self._remove_if_done(pending)
 
     def _remove_if_done(self, pending: PendingRequest) -> None:
         if pending.answered and not pending.outstanding:
             if pending.timer:
                 pending.timer.cancel()
-            self.pending.pop(pending.arrival.id, None)
+            self.pending.pop(pending.request.id, None)
             # Breaks the reference cycle, to be freed without garbage collection.
             pending.exchange.pending_request = None
             pending.attempts.clear()
@@ -244,30 +244,30 @@
 
     # Clients
 
-    def handle_request(self, exchange: Exchange, arrival: ParsedRequest) -> None:
-        if arrival.id in self.pending:  # two requests with the same id could not be told apart
+    def handle_request(self, exchange: Exchange, request: ParsedRequest) -> None:
+        if request.id in self.pending:  # two requests with the same id could not be told apart
             exchange.reject(400, b"x-request-id: in use\n")
             return
         if len(self.pending) >= self.config.most_held:
             exchange.reply(503, retry_after=self.settings.retry_after_limit)
             return
         now = self.clock.now()
-        timeout = min(arrival.timeout, self.settings.classes[arrival.class_index].timeout)
+        timeout = min(request.timeout, self.settings.classes[request.class_index].timeout)
         expires_at = now + max(0.0, timeout - RESPONSE_MARGIN_S)
         if self.drain_deadline is not None:
             expires_at = min(expires_at, self.drain_deadline)
-        pending = PendingRequest(exchange, arrival, expires_at)
+        pending = PendingRequest(exchange, request, expires_at)
         exchange.pending_request = pending
-        self.pending[arrival.id] = pending
+        self.pending[request.id] = pending
         self.dispatch(
             api.Request(
-                id=arrival.id,
-                class_index=arrival.class_index,
-                plan_index=arrival.plan_index,
-                customer=arrival.customer,
-                entry_gateways=arrival.entry_gateways,
+                id=request.id,
+                class_index=request.class_index,
+                plan_index=request.plan_index,
+                customer=request.customer,
+                entry_gateways=request.entry_gateways,
                 expires_at=expires_at,
-                units=arrival.units,
+                units=request.units,
             )
         )
         if not pending.answered:  # under load most requests are refused at once and need no timer
@@ -277,7 +277,7 @@
         pending = exchange.pending_request
         if pending is not None and not pending.answered:
             pending.answered = True
-            self.dispatch(api.RequestAbandoned(pending.arrival.id))
+            self.dispatch(api.RequestAbandoned(pending.request.id))
             self._remove_if_done(pending)
 
     def _expire(self, pending: PendingRequest) -> None:
@@ -308,16 +308,16 @@
             return
         deadline = min(action.deadline or pending.expires_at, pending.expires_at)
 
-        def payload() -> bytes | None:
+        def build_payload() -> bytes | None:
             if pending.exchange.connection.is_disconnected():
                 self.client_disconnected(pending.exchange)
             if pending.answered or not self._may_send_to(endpoint):
                 return None
             remaining = deadline - self.clock.now()
-            return self._request_bytes(pending, remaining) if remaining > 0 else None
+            return self._build_request(pending, remaining) if remaining > 0 else None
 
         attempt = Attempt(
-            action.host, endpoint.address, payload, partial(self._attempt_done, pending), number, now
+            action.host, endpoint.address, build_payload, partial(self._attempt_done, pending), number, now
         )
         attempt.host_started_at = endpoint.host.started_at
         pending.attempts.append(attempt)
@@ -333,10 +333,12 @@
         The drain grace is not used for new attempts, as this gateway may have learnt of the drain late.
         """
         endpoint = self.discovery.endpoints.get(chosen.host.id)
-        return endpoint is not None and endpoint.instance == chosen.instance and not endpoint.draining
+        return (
+            endpoint is not None and endpoint.host_instance == chosen.host_instance and not endpoint.draining
+        )
 
     @staticmethod
-    def _request_bytes(pending: PendingRequest, remaining: float) -> bytes:
+    def _build_request(pending: PendingRequest, remaining: float) -> bytes:
         exchange = pending.exchange
         body = exchange.body
         length = b"Content-Length: %d\r\n" % len(body) if body or exchange.method != b"GET" else b""
@@ -352,25 +354,25 @@
         )
 
     def _attempt_done(
-        self, pending: PendingRequest, attempt: Attempt, outcome: Outcome, answer: Response | None
+        self, pending: PendingRequest, attempt: Attempt, outcome: Outcome, response: Response | None
     ) -> None:
         """Called once when an attempt ends; the first OK response goes to the client at once."""
         pending.outstanding -= 1
         pending.may_have_run = pending.may_have_run or outcome not in NOT_RUN
         pending.last_timed_out = outcome is Outcome.TIMEOUT
-        if outcome is Outcome.OK and answer and not pending.answered:
+        if outcome is Outcome.OK and response and not pending.answered:
             pending.answered = True
-            pending.exchange.reply(200, answer.body, answer.headers)
+            pending.exchange.reply(200, response.body, response.headers)
         self.dispatch(
             api.AttemptDone(
-                request=pending.arrival.id,
+                request=pending.request.id,
                 attempt=attempt.index,
                 outcome=outcome,
                 delay=self.clock.now() - attempt.sent_at,
                 request_done=pending.answered,
-                usage=answer.usage if answer else None,
-                units=answer.units if answer and outcome is Outcome.OK else None,
-                load_report=answer.load_report if answer else (),
+                usage=response.usage if response else None,
+                units=response.units if response and outcome is Outcome.OK else None,
+                load_report=response.load_report if response else (),
                 connection_broken=attempt.connection_broken,
             )
         )
@@ -398,14 +400,14 @@
         self.loop.call_later(max(0.0, action.delay), self.dispatch, api.TimerFired(action.token))
 
     def _probe(self, action: api.Probe) -> None:
-        endpoint, started = self.discovery.endpoints.get(action.host), self.clock.now()
+        endpoint, started_at = self.discovery.endpoints.get(action.host), self.clock.now()
 
-        def ended(attempt: Attempt, outcome: Outcome, answer: Response | None) -> None:
-            report = answer.load_report if answer else ()
-            self.dispatch(api.ProbeDone(action.host, outcome, self.clock.now() - started, report))
+        def on_end(attempt: Attempt, outcome: Outcome, response: Response | None) -> None:
+            report = response.load_report if response else ()
+            self.dispatch(api.ProbeDone(action.host, outcome, self.clock.now() - started_at, report))
 
         text = f"GET /alive HTTP/1.1\r\nHost: {action.host}\r\n\r\n".encode()
-        attempt = Attempt(action.host, endpoint.address if endpoint else ("", 0), lambda: text, ended)
+        attempt = Attempt(action.host, endpoint.address if endpoint else ("", 0), lambda: text, on_end)
         if endpoint is None:
             attempt.end(Outcome.NOT_SENT)
             return
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -812,7 +812,7 @@
 def test_refusals_by_the_node_carry_a_retry_after_only_where_allowed(
     allowed: bool,
 ) -> None:
-    """One beyond the limit of pending requests, one on a surplus connection, one without a decision."""
+    """One beyond the limit of pending requests, one on an overflow connection, one without a decision."""
 
     async def test() -> None:
         ceilings = {"most_held": 1, "retry_after": allowed}
