--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -54,10 +54,10 @@
         assert not [a for a in actions if isinstance(a, api.CounterAdd)]
 
 
-def test_a_metered_customer_needs_no_call_if_each_gateways_part_of_the_burst_holds_a_request() -> None:
+def test_a_metered_customer_needs_no_call_if_each_gateways_share_of_the_burst_holds_a_request() -> None:
     for metered in (True, False):
         bench = bench_with_counter(meter_period=0.5 * metered)
-        for entries, units in ((8, 1.0), (4, 2.0), (8, 2.0), (16, 1.0)):  # of a burst of eight
+        for entries, units in ((8, 1.0), (4, 2.0), (8, 2.0), (16, 1.0)):  # the burst is 8
             customer = entries + 100 * int(units)
             _, actions = bench.request(customer=customer, entry_gateways=entries, units=units)
             own = entries < 8 or (metered and units * entries <= PLAN.burst)
@@ -81,7 +81,7 @@
 
 
 def test_many_gateways_together_admit_one_burst_at_once() -> None:
-    """300 gateways with one request each: with a bucket of their own, they would admit 300 units, not 8."""
+    """300 gateways with one request each: with a bucket each they would admit 300 units, not 8."""
     counter, sent = FakeCounter(), 0
     for bench in make_benches(300, now=1000.0):
         sent += [type(a) for a in counter.answer_calls(bench, bench.request(entry_gateways=MANY)[1])] == [
@@ -235,11 +235,11 @@
     total = rate * (bench.now - began) + most + rate + call.amount  # has room after about 1 s
     actions = bench.feed(api.CounterReply(call.name, True, total))
     assert [a.amount for a in actions if isinstance(a, api.CounterAdd)] == [-1.0]
-    asked = []
+    called = []
     for _ in range(24):  # every 0.05 s; the even share admits every seventh
         bench.wait(0.05)
-        asked.append(api.CounterAdd in [type(a) for a in bench.request(entry_gateways=MANY)[1]])
-    assert not any(asked[:20]) and any(asked[20:])
+        called.append(api.CounterAdd in [type(a) for a in bench.request(entry_gateways=MANY)[1]])
+    assert not any(called[:20]) and any(called[20:])
 
 
 def test_even_shares_and_pool_together_stay_within_the_ceiling() -> None:
