--- a/testbed/soak/plan.py
+++ b/testbed/soak/plan.py
@@ -1,4 +1,4 @@
-"""What happens in a run: drawn whole from its seed, before anything is started."""
+"""The plan of a run: all of its faults, drawn from its seed before anything is started."""
 
 from __future__ import annotations
 
@@ -6,135 +6,142 @@
 from dataclasses import dataclass
 from enum import Enum
 
-PATIENCES = (0.7, 1.2, 2.0, 3.0)  # s, the longest deadline of a run
-KILL_COUNTS = 3.0  # s as which a longer deadline counts for the kill of a planned restart
-KILL_AFTER = 0.7  # s after the longest deadline, from SIGTERM on, at which that kill comes at the earliest
-QUIET_START = 1.0  # s of a run ahead of its first trouble
-LONGEST_STALL = 0.15  # s
-CROWD_SHARE = 0.3  # of the runs have a crowd
+CLIENT_TIMEOUTS_S = (0.7, 1.2, 2.0, 3.0)  # the longest that a client of a run waits
+MAX_KILL_TIMEOUT_S = 3.0  # a longer client timeout does not delay the kill in a planned restart any more
+KILL_MARGIN_S = 0.7  # after that timeout, counted from SIGTERM, until the kill
+FAULT_FREE_START_S = 1.0  # at the start of a run
+MAX_STALL_S = 0.15
+FLOOD_SHARE = 0.3  # of the runs that have a connection flood
 
 
-class Trouble(Enum):
-    """Kinds of things that happen to gateways, hosts, discovery and the counter."""
+class Fault(Enum):
+    """Kinds of faults and other disturbances of gateways, hosts, discovery and the counter."""
 
     RESTART = "planned restart"
-    KILL = "kill without a word"
-    RELOAD = "new configuration"
-    STALL = "stall"
-    CROWD = "crowd of idle clients"
+    KILL = "gateway killed"
+    RELOAD = "configuration reloaded"
+    STALL = "gateway stalled"
+    CONNECTION_FLOOD = "idle clients use up the gateway's descriptors"
     HOST_DRAINS = "host drains"
     HOST_HANGS = "host hangs"
     HOST_RESETS = "host resets connections"
-    HOST_TURNS_AWAY = "host turns requests away"
-    HOST_VANISHES = "host vanishes and comes back cold"
-    WATCHES_SILENT = "watches fall silent"
+    HOST_REJECTS = "host rejects requests"
+    HOST_RESTARTS = "host stops and restarts cold"
+    WATCHES_SILENT = "open watches fall silent"
     DISCOVERY_DOWN = "discovery is down"
-    COUNTER_TROUBLE = "calls to the counter go wrong"
+    COUNTER_FAULTS = "calls to the counter fail"
 
 
 @dataclass(frozen=True, slots=True)
-class Event:
-    """Something that happens at a time (s from the begin) for a while (s), to one gateway or host."""
+class FaultEvent:
+    """One fault of a run."""
 
-    at: float
-    trouble: Trouble
-    target: int = 0
-    seconds: float = 0.0
+    at: float  # s after the start of the run
+    fault: Fault
+    target: int = 0  # index of the gateway or host
+    duration: float = 0.0  # s
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
-    """One run."""
+class RunPlan:
+    """What is drawn for one run."""
 
     seed: int
-    seconds: float
-    patience: float
+    seconds: float  # for which clients send
+    client_timeout: float  # s, the longest of all clients
     gateways: int
     hosts: int
     requests_per_second: float
-    whole_lists: bool
-    drain_grace: float
-    uncertain_calls: bool  # calls to a counter in trouble may be late, lost or spoilt, and not only refused
-    events: tuple[Event, ...]
+    full_lists: bool  # each message of discovery holds the full host list, not only changes
+    drain_grace: float  # s
+    # Whether failing calls to the counter may leave open if the amount was added; if not, they are rejected.
+    uncertain_counter_calls: bool
+    events: tuple[FaultEvent, ...]
 
     @property
     def kill_after(self) -> float:
-        """Seconds from SIGTERM to the kill, the earliest that the protocol allows."""
-        return min(KILL_COUNTS, self.patience) + KILL_AFTER
+        """Seconds from SIGTERM to the kill of a planned restart: the shortest that the protocol allows."""
+        return min(MAX_KILL_TIMEOUT_S, self.client_timeout) + KILL_MARGIN_S
 
 
-def draw(seed: int, seconds: float) -> Plan:
-    """The run of a seed; `seconds` is how long its clients send."""
+def draw_plan(seed: int, seconds: float) -> RunPlan:
+    """Draws the plan of a run from its seed; clients send for `seconds`."""
     rng = random.Random(seed)
     gateways, hosts = 3, rng.randint(5, 8)
-    patience = rng.choice(PATIENCES)
-    plan = Plan(
+    client_timeout = rng.choice(CLIENT_TIMEOUTS_S)
+    plan = RunPlan(
         seed=seed,
         seconds=seconds,
-        patience=patience,
+        client_timeout=client_timeout,
         gateways=gateways,
         hosts=hosts,
         requests_per_second=rng.uniform(40.0, 120.0),
-        whole_lists=rng.random() < 0.3,
+        full_lists=rng.random() < 0.3,
         drain_grace=rng.choice((1.0, 2.0)),
-        uncertain_calls=rng.random() < 0.5,
+        uncertain_counter_calls=rng.random() < 0.5,
         events=(),
     )
-    events = [*_signals(rng, plan), *_host_troubles(rng, plan), *_other_troubles(rng, plan)]
-    return Plan(
-        **{name: getattr(plan, name) for name in Plan.__slots__ if name != "events"},
+    events = [*_gateway_faults(rng, plan), *_host_faults(rng, plan), *_other_faults(rng, plan)]
+    return RunPlan(
+        **{name: getattr(plan, name) for name in RunPlan.__slots__ if name != "events"},
         events=tuple(sorted(events, key=lambda event: event.at)),
     )
 
 
-def _moment(rng: random.Random, plan: Plan) -> float:
-    return rng.uniform(QUIET_START, max(QUIET_START, plan.seconds))
+def _random_time(rng: random.Random, plan: RunPlan) -> float:
+    return rng.uniform(FAULT_FREE_START_S, max(FAULT_FREE_START_S, plan.seconds))
 
 
-def _signals(rng: random.Random, plan: Plan) -> list[Event]:
-    """Restarts of all gateways but the first, in series, with reloads and stalls close to them."""
+def _gateway_faults(rng: random.Random, plan: RunPlan) -> list[FaultEvent]:
+    """Restarts each gateway but the first again and again, with reloads and stalls around the restarts."""
     events = []
     for gateway in range(1, plan.gateways):
-        at = rng.uniform(QUIET_START, max(QUIET_START, plan.seconds / 3))
+        at = rng.uniform(FAULT_FREE_START_S, max(FAULT_FREE_START_S, plan.seconds / 3))
         while at < plan.seconds:
-            trouble = Trouble.KILL if rng.random() < 0.2 else Trouble.RESTART
-            events.append(Event(at, trouble, gateway))
+            fault = Fault.KILL if rng.random() < 0.2 else Fault.RESTART
+            events.append(FaultEvent(at, fault, gateway))
             for _ in range(rng.choice((0, 0, 1, 2))):
-                events.append(Event(at + rng.uniform(-0.3, 1.0), Trouble.RELOAD, gateway))
+                events.append(FaultEvent(at + rng.uniform(-0.3, 1.0), Fault.RELOAD, gateway))
             for _ in range(rng.choice((0, 1, 2, 3))):
-                stall = rng.uniform(0.05, LONGEST_STALL)
-                events.append(Event(at + rng.uniform(0.0, plan.kill_after), Trouble.STALL, gateway, stall))
+                stall = rng.uniform(0.05, MAX_STALL_S)
+                events.append(FaultEvent(at + rng.uniform(0.0, plan.kill_after), Fault.STALL, gateway, stall))
             at += plan.kill_after + rng.uniform(2.0, 5.0)
     for _ in range(rng.choice((0, 1, 2))):
-        events.append(Event(_moment(rng, plan), Trouble.RELOAD, 0))
+        events.append(FaultEvent(_random_time(rng, plan), Fault.RELOAD, 0))
     for _ in range(rng.randint(0, 4)):
-        stall = rng.uniform(0.02, LONGEST_STALL)
-        events.append(Event(_moment(rng, plan), Trouble.STALL, rng.randrange(plan.gateways), stall))
+        stall = rng.uniform(0.02, MAX_STALL_S)
+        events.append(FaultEvent(_random_time(rng, plan), Fault.STALL, rng.randrange(plan.gateways), stall))
     return [event for event in events if event.at >= 0]
 
 
-def _host_troubles(rng: random.Random, plan: Plan) -> list[Event]:
-    """Troubles of some hosts; two at least have none, so that something is served."""
+def _host_faults(rng: random.Random, plan: RunPlan) -> list[FaultEvent]:
+    """Faults of some hosts; at least two have none, so that requests can be served."""
     kinds = (
-        Trouble.HOST_DRAINS, Trouble.HOST_HANGS, Trouble.HOST_RESETS, Trouble.HOST_TURNS_AWAY,
-        Trouble.HOST_VANISHES,
+        Fault.HOST_DRAINS, Fault.HOST_HANGS, Fault.HOST_RESETS, Fault.HOST_REJECTS,
+        Fault.HOST_RESTARTS,
     )  # fmt: skip
     events = []
     for host in range(2, plan.hosts):
         for _ in range(rng.choice((0, 1, 1, 2))):
-            events.append(Event(_moment(rng, plan), rng.choice(kinds), host, rng.uniform(0.5, 4.0)))
+            events.append(FaultEvent(_random_time(rng, plan), rng.choice(kinds), host, rng.uniform(0.5, 4.0)))
     return events
 
 
-def _other_troubles(rng: random.Random, plan: Plan) -> list[Event]:
+def _other_faults(rng: random.Random, plan: RunPlan) -> list[FaultEvent]:
     events = []
     if rng.random() < 0.5:
-        events.append(Event(_moment(rng, plan), Trouble.WATCHES_SILENT))
+        events.append(FaultEvent(_random_time(rng, plan), Fault.WATCHES_SILENT))
     if rng.random() < 0.4:
-        events.append(Event(_moment(rng, plan), Trouble.DISCOVERY_DOWN, seconds=rng.uniform(0.5, 4.0)))
+        events.append(
+            FaultEvent(_random_time(rng, plan), Fault.DISCOVERY_DOWN, duration=rng.uniform(0.5, 4.0))
+        )
     for _ in range(rng.choice((1, 2, 3))):
-        events.append(Event(_moment(rng, plan), Trouble.COUNTER_TROUBLE, seconds=rng.uniform(1.0, 4.0)))
-    if rng.random() < CROWD_SHARE:
+        events.append(
+            FaultEvent(_random_time(rng, plan), Fault.COUNTER_FAULTS, duration=rng.uniform(1.0, 4.0))
+        )
+    if rng.random() < FLOOD_SHARE:
         target = rng.randrange(plan.gateways)
-        events.append(Event(_moment(rng, plan), Trouble.CROWD, target, rng.uniform(1.0, 4.0)))
+        events.append(
+            FaultEvent(_random_time(rng, plan), Fault.CONNECTION_FLOOD, target, rng.uniform(1.0, 4.0))
+        )
     return events
