--- a/coralvale/logic.py
+++ b/coralvale/logic.py
@@ -14,7 +14,7 @@
 from coralvale.admission import Admission
 from coralvale.health import DELAY_HALF_LIFE_S, LOST_THRESHOLD, SILENCE_LIMIT, Host
 from coralvale.interface import Idempotency, Outcome
-from coralvale.restrictor import QUIET, STEP, Restrictor
+from coralvale.restrictor import RATE_UPDATE_INTERVAL_S, READING_MAX_AGE_S, Restrictor
 from coralvale.state import (
     QUOTA_REASONS,
     Admitted,
@@ -81,8 +81,11 @@
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         self.actions = []
-        if self.admission.born is None:
-            self.admission.born, self.next_step_at = now, now + STEP * self.random.random()
+        if self.admission.started_at is None:
+            self.admission.started_at, self.next_step_at = (
+                now,
+                now + RATE_UPDATE_INTERVAL_S * self.random.random(),
+            )
             self.actions.append(api.SetTimer(0, TIMER_INTERVAL_S))
             if self.settings.list_on_request:
                 self.actions.append(api.FollowList())
@@ -94,14 +97,14 @@
 
     def _on_request(self, now: float, request: api.Request) -> None:
         self.settings.check(request)
-        restrictor = self.admission.restrictor(now, request)
+        restrictor = self.admission.restrictor_for(now, request)
         if now >= request.expires_at:
             return self._refuse(Refused(request, Reason.TOO_LATE, 0.0))
         self._apply_decision(now, self.admission.decide(now, request, restrictor))
-        return restrictor.note(now, request.units)
+        return restrictor.record_demand(now, request.units)
 
     def _on_counter_reply(self, now: float, event: api.CounterReply) -> None:
-        if decision := self.admission.reply(now, event):
+        if decision := self.admission.handle_reply(now, event):
             self._apply_decision(now, decision)
 
     def _apply_decision(self, now: float, decision: Decision) -> None:
@@ -119,12 +122,12 @@
         if refused := self._check_before_send(now, request, reservation.restrictor):
             reservation.release()
             return self._refuse(refused)
-        if decision := self.admission.over_ceiling(now, reservation):
+        if decision := self.admission.check_ceiling(now, reservation):
             return self._apply_decision(now, decision)
         self._classify_hosts(now)
         if (host := self._pick_cold_host(now) or self._pick_host(now)) is None:
             reservation.release()
-            return self._refuse(Refused(request, Reason.NO_HOST, STEP))
+            return self._refuse(Refused(request, Reason.NO_HOST, RATE_UPDATE_INTERVAL_S))
         reservation.charge()
         self.retry_budget = min(
             1 + RETRY_BUDGET_LIMIT_S * self.throughput.rate(now), self.retry_budget + RETRY_BUDGET_RATIO
@@ -135,7 +138,7 @@
     def _check_before_send(self, now: float, request: api.Request, restrictor: Restrictor) -> Refused | None:
         """Returns a refusal if a request that is within its quota must not be sent now, otherwise None."""
         delay = self.class_delays[request.class_index]
-        if restrictor.open_full():
+        if restrictor.at_open_limit():
             return Refused(request, Reason.OPEN_LIMIT, delay)
         if request.expires_at - now < delay / 2:  # a response would hardly arrive in time
             return Refused(request, Reason.TOO_LATE, delay)
@@ -189,7 +192,7 @@
 
     def _on_host_list(self, now: float, event: api.HostList) -> None:
         if event.kind is api.ListKind.FAILED:
-            self.list_retry_at = now + STEP * (0.5 + self.random.random())
+            self.list_retry_at = now + RATE_UPDATE_INTERVAL_S * (0.5 + self.random.random())
             return
         hosts = self.hosts if event.kind is api.ListKind.CHANGES else {}
         for info in event.hosts:
@@ -262,7 +265,9 @@
             pool = self.random.choices(pool, [h.scale for h in pool], k=sample_size)
         best, min_wait = None, math.inf
         for host in pool:
-            reported = max(0.0, host.reported_load) if now - host.load_reported_at < QUIET / 2 else 0.0
+            reported = (
+                max(0.0, host.reported_load) if now - host.load_reported_at < READING_MAX_AGE_S / 2 else 0.0
+            )
             wait = (1 + (len(host.outstanding) + reported) / host.scale) * host.decayed_delay_ratio(now)
             wait *= 1 + 0.1 * self.random.random() + (0.02 if host.info.zone != self.settings.zone else 0)
             # Unhealthy hosts rank lower but are not excluded: if most hosts are unhealthy, the others could
@@ -302,7 +307,7 @@
     def _send(self, now: float, pending: PendingRequest, host: Host) -> None:
         host.outstanding[pending.request.id, len(pending.attempts)] = now
         self.busy_hosts[host] = None
-        pending.reservation.restrictor.open += 1
+        pending.reservation.restrictor.open_attempts += 1
         pending.attempts.append(Attempt(host, now))
         self.actions.append(api.Send(pending.request.id, host.info.id, self._attempt_deadline(now, pending)))
 
@@ -332,7 +337,7 @@
 
     def _on_request_closed(self, now: float, event: api.RequestAbandoned | api.StreamStarted) -> None:
         """The client has left or a streamed response has started: no further attempt is sent."""
-        self.admission.leave(event.request)
+        self.admission.abandon_request(event.request)
         if pending := self.requests.get(event.request):
             self._close_request(event.request, pending)
 
@@ -349,10 +354,10 @@
         attempt.host.outstanding.pop((event.request, event.attempt), None)
         if not attempt.host.outstanding:
             self.busy_hosts.pop(attempt.host, None)
-        restrictor.open -= 1
+        restrictor.open_attempts -= 1
         pending.was_sent = pending.was_sent or event.outcome is not Outcome.NOT_SENT
         if event.usage is not None and 0 <= event.usage < math.inf:
-            restrictor.hear(now, event.usage)
+            restrictor.record_usage(now, event.usage)
         plausible = 0 < (event.units or 0) <= self.settings.max_units and event.units < math.inf
         if self.settings.post_paid and plausible:  # replaces the estimate
             pending.reservation.correct(event.units)
@@ -437,9 +442,9 @@
             self.actions.append(api.FollowList() if self.settings.list_on_request else api.FetchList())
         # The baselines rise by 1% a second, so that they follow a lasting change.
         self.baseline_delays = [d * (1 + 0.01 * TIMER_INTERVAL_S) for d in self.baseline_delays]
-        for reply in self.admission.overdue(now):
+        for reply in self.admission.overdue_replies(now):
             self._on_counter_reply(now, reply)
         if now >= self.next_step_at:
-            self.next_step_at += STEP
+            self.next_step_at += RATE_UPDATE_INTERVAL_S
             self._choose_subset()
-            self.admission.step(now)
+            self.admission.update_rates(now)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -812,7 +812,7 @@
 def test_refusals_by_the_node_carry_a_retry_after_only_where_allowed(
     allowed: bool,
 ) -> None:
-    """One beyond the limit of pending requests, one on a surplus connection, one without a decision."""
+    """One beyond the limit of pending requests, one on an overflow connection, one without a decision."""
 
     async def test() -> None:
         ceilings = {"most_held": 1, "retry_after": allowed}
@@ -892,7 +892,7 @@
             host_entry("s-1", host.port), real_module=True, packages=[plan], family_info=family, n_instances=1
         ) as w:
             started, go = hold_connects(w.node.upstreams)
-            w.node.gateway.admission.born = -math.inf  # the ceiling allows its whole burst
+            w.node.gateway.admission.started_at = -math.inf  # the ceiling allows its whole burst
             quota = {"Quota_Info": "units=1,spread=1,first=0"}
             first, second = await w.client(), await w.client()
             first.send(request("r1", **quota))
