--- a/coralvale/net/discovery.py
+++ b/coralvale/net/discovery.py
@@ -334,7 +334,7 @@
     def _may_be_complete(self) -> bool:
         """Whether the whole lines close all brackets, or a new message begins; scans each line only once."""
         end = self.buffer.rfind(b"\n") + 1
-        begins = self.buffer.find(b"\n{", max(0, self.scanned - 1), end) >= 0  # after an incomplete one
+        begins = self.buffer.find(b"\n{", max(0, self.scanned - 1), end) >= 0  # the one before is truncated
         for token in STRING_OR_BRACKET.finditer(self.buffer, self.scanned, end):
             self.depth += bool(token[1]) - bool(token[2])
         self.scanned = end
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -378,8 +378,8 @@
             late = await w.client()
             late.send(request("r2"))
             second = await host.next()
-            kill = w.node.clock.now() + 3 + 0.7  # the earliest SIGKILL
-            assert w.script.received(api.Request)[1].expires_at < kill - 0.25
+            earliest_kill = w.node.clock.now() + 3 + 0.7
+            assert w.script.received(api.Request)[1].expires_at < earliest_kill - 0.25
             assert await idle.closed_by_gateway()
             assert not w.node.stopped.done()
             for client, arrived in ((busy, first), (late, second)):
