--- a/coralvale/net/node.py
+++ b/coralvale/net/node.py
@@ -29,9 +29,7 @@
 log = logging.getLogger(__name__)
 
 READY_TIMEOUT_S = 0.25  # from start to ready on the configured host list, if discovery does not respond
-FIRST_MESSAGE_WAIT_S = (
-    0.01  # from discovery's response head to ready; a message comes only if the list has changed
-)
+FIRST_MESSAGE_WAIT_S = 0.01  # from discovery's response head to ready; only changes bring a message
 RESPONSE_MARGIN_S = 0.05  # before the client's timeout, reserved for writing the response
 MAX_PROPAGATION_DELAY_S = 6.0  # after which a change counts as known, see `Discovery`
 ACCEPT_AFTER_SIGTERM_S = 0.45  # new connections keep arriving for 0.2 to 0.4 s after SIGTERM
