--- a/coralvale/net/node.py
+++ b/coralvale/net/node.py
@@ -1,8 +1,9 @@
-"""Drives the decision module: what happens becomes its events, its actions are carried out.
+"""Connects the decision module to the network: passes it events and carries out the actions it returns.
 
-The node chooses no host, no retry and no refusal. What it decides alone are guards of the transport: it
-answers for a module that failed, ends what is still held at its deadline, and does not write an attempt
-that has become pointless or forbidden since it was ordered.
+Which host gets an attempt, whether there is another one and what is refused is up to the decision module. The
+node decides alone only to protect itself and the transport: it turns away a request whose id is in use or for
+which it has no room, answers a request that the module has failed to decide, ends a request at its deadline,
+and does not send an attempt if, since the module ordered it, the client has left or the host takes no more.
 """
 
 from __future__ import annotations
@@ -22,79 +23,84 @@
 from coralvale.net.config import Address, Config, HostInstance
 from coralvale.net.counter import CounterClient
 from coralvale.net.discovery import Discovery, Endpoint
-from coralvale.net.server import NOT_PASSED_ON, Arrival, Exchange, Server
-from coralvale.net.upstream import Answer, Attempt, Upstreams
+from coralvale.net.server import HEADERS_NOT_FORWARDED, Exchange, ParsedRequest, Server
+from coralvale.net.upstream import Attempt, Response, Upstreams
 
 log = logging.getLogger(__name__)
 
-READY = 0.25  # s that the answer to the first watch may take; without it the known list must do
-SETTLE = 0.01  # s after that answer for the line that holds what has changed; where nothing has, none comes
-ANSWER_ROOM = 0.05  # s before the client's time is up, kept for writing an answer
-TOLD = 6.0  # s after which what discovery has counts as told, if it can be reached, whatever has failed
-ACCEPT = 0.45  # s after SIGTERM in which new connections go on coming (0.2 to 0.4 s)
-CROSSED = 0.25  # s more, for clients whose request crossed the closing of their idle connection
-DEADLINE = 3.0  # s that a kill leaves for the longest deadline, at most
-KILLED = 0.7  # s after that deadline, from SIGTERM on, before which no kill comes
-BEFORE = 0.35  # s of that time that are left unused, as the process may be late itself
-FLUSH = 0.1  # s for the last answers to leave
-STEP = 0.05  # s between looks at what a drain has left to do
-MORE_STEPS = 4  # of them after FLUSH while answers are owed: with it they stay within BEFORE
-TIMER = 0.001  # s that the loop's timers tell apart
-LOST_TIMER = 1.0  # s until a timer is due that the module was not known to have set
-RESERVE = 64  # descriptors for all but clients and hosts: listener, watch, counter, logs, the loop's own
-NOT_RUN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
-
-
-def descriptors(most: int) -> int:
-    """How many there are: what the configuration allows may be more than the system does.
-
-    Clients that take the last one would keep out the watch, the counter and the hosts.
+READY_TIMEOUT_S = 0.25  # from start to ready on the configured host list, if discovery does not respond
+FIRST_MESSAGE_WAIT_S = 0.01  # from discovery's response head to ready; only changes bring a message
+RESPONSE_MARGIN_S = 0.05  # before the client's timeout, reserved for writing the response
+MAX_PROPAGATION_DELAY_S = 6.0  # after which a change counts as known, see `Discovery`
+ACCEPT_AFTER_SIGTERM_S = 0.45  # new connections keep arriving for 0.2 to 0.4 s after SIGTERM
+RECONNECT_GRACE_S = 0.25  # for clients that sent a request while their idle connection was being closed
+# From SIGTERM to the earliest SIGKILL: the longest class timeout, up to this maximum, plus the delay.
+MAX_TIMEOUT_BEFORE_KILL_S = 3.0
+KILL_DELAY_S = 0.7
+KILL_MARGIN_S = 0.35  # left unused before the earliest SIGKILL, as the event loop may be late
+FLUSH_S = 0.1  # for the last responses to be sent
+DRAIN_POLL_S = 0.05  # between checks whether the drain is complete
+MAX_EXTRA_POLLS = 4  # after FLUSH_S while responses are owed; both together stay within KILL_MARGIN_S
+TIMER_RESOLUTION_S = 0.001  # of the event loop
+DEFAULT_TIMER_DELAY_S = 1.0  # for setting a timer again whose delay is not known
+RESERVED_DESCRIPTORS = 64  # for the listener, discovery, the counter, log files and the event loop
+NOT_RUN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)  # the host has not run the request
+
+
+def descriptor_limit(configured: int) -> int:
+    """The number of file descriptors to share out: the configured one, or the process limit if lower.
+
+    If clients could take the last descriptor, none would be left for discovery, the counter and the hosts.
     """
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    return most if soft == resource.RLIM_INFINITY else min(most, soft)
+    return configured if soft == resource.RLIM_INFINITY else min(configured, soft)
 
 
 class PendingRequest:
-    """A request from its last byte until it is answered and no attempt is out."""
+    """A request, from its arrival in full until it is answered and none of its attempts is outstanding."""
 
     __slots__ = (
         "answered",
-        "arrival",
+        "request",
         "attempts",
         "exchange",
         "expires_at",
         "may_have_run",
-        "out",
+        "outstanding",
         "timer",
-        "timed_out",
+        "last_timed_out",
     )
 
-    def __init__(self, exchange: Exchange, arrival: Arrival, expires_at: float) -> None:
-        self.exchange, self.arrival, self.expires_at = exchange, arrival, expires_at
+    def __init__(self, exchange: Exchange, request: ParsedRequest, expires_at: float) -> None:
+        self.exchange, self.request, self.expires_at = exchange, request, expires_at
         self.attempts: list[Attempt] = []
-        self.out = 0
-        self.answered = self.may_have_run = self.timed_out = False
+        self.outstanding = 0  # attempts that have not ended
+        # `answered`: the client is answered or gone; `last_timed_out`: the attempt that ended last timed out.
+        self.answered = self.may_have_run = self.last_timed_out = False
         self.timer: asyncio.TimerHandle | None = None
 
 
 class Node:
+    """One gateway: the decision module with its clients, its hosts, discovery and the counter."""
+
     def __init__(self, config: Config, clock: Clock | None = None) -> None:
         self.config, self.settings = config, config.settings
         self.clock = clock or Clock()
         self.loop = asyncio.get_running_loop()
         self.gateway = Gateway(config.settings, config.seed)
-        self.held: dict[str, PendingRequest] = {}
+        self.pending: dict[str, PendingRequest] = {}
         self.ready = False
-        self.ends_at: float | None = None  # after SIGTERM, when all must be answered
-        self.accepting_ended = False
+        self.drain_deadline: float | None = None  # set by SIGTERM: when all requests must be answered
+        self.listener_closed = False
         self.stopped: asyncio.Future[None] = self.loop.create_future()
         self.events: deque[api.Event] = deque()
-        self.handling = False
-        self.delays: dict[int, float] = {}  # the module's timers by token, to set one again that was lost
-        sockets = descriptors(config.sockets)
-        share = (sockets - min(RESERVE, sockets // 4)) // 2  # for clients, and for hosts
-        surplus = share // 8
-        self.server = Server(config.listen, config.settings, self, share - surplus, surplus)
+        self.processing = False
+        # Delays of the module's timers by token, to set a timer again if the module fails as it fires.
+        self.timer_delays: dict[int, float] = {}
+        sockets = descriptor_limit(config.sockets)
+        share = (sockets - min(RESERVED_DESCRIPTORS, sockets // 4)) // 2  # for clients and for hosts each
+        overflow = share // 8  # client connections that only get a 503
+        self.server = Server(config.listen, config.settings, self, share - overflow, overflow)
         self.upstreams = Upstreams(
             self.clock, config.connect_timeout, config.conn_idle, share, config.settings.load_report_fields
         )
@@ -102,20 +108,20 @@
             config.discovery,
             config.zones,
             config.machine_types,
-            self._listed,
-            callers=config.settings.gateways if config.settings.list_on_request else 0,
-            grace=config.settings.drain_grace,
-            told_within=TOLD,
+            self._on_list_change,
+            queued_callers=config.settings.gateways if config.settings.list_on_request else 0,
+            drain_grace=config.settings.drain_grace,
+            max_propagation_delay=MAX_PROPAGATION_DELAY_S,
         )
         self.counter = self._make_counter(config.counter)
-        self.actions: dict[type, Callable[[Any], None]] = {
+        self.action_handlers: dict[type, Callable[[Any], None]] = {
             api.Send: self._send,
             api.Cancel: self._cancel,
             api.Refuse: self._refuse,
             api.Fail: self._fail,
             api.SetTimer: self._set_timer,
             api.Probe: self._probe,
-            api.CounterAdd: self._count,
+            api.CounterAdd: self._counter_add,
             api.FollowList: lambda _: self.discovery.follow(),
             api.FetchList: lambda _: self.discovery.refresh(),
             api.Log: lambda action: log.info("%s", action.text),
@@ -123,28 +129,28 @@
 
     def start(self) -> None:
         self.discovery.apply(self.config.known_hosts, cached=True)
-        self.watching = self.loop.create_task(self.discovery.run())
+        self.discovery_task = self.loop.create_task(self.discovery.run())
         self.server.start()
-        self.discovery.on_answer = self._settle
-        self.loop.call_later(READY, self._be_ready)
+        self.discovery.on_response = self._on_discovery_response
+        self.loop.call_later(READY_TIMEOUT_S, self._set_ready)
 
-    def _settle(self) -> None:
-        self.loop.call_later(SETTLE, self._be_ready)
+    def _on_discovery_response(self) -> None:
+        self.loop.call_later(FIRST_MESSAGE_WAIT_S, self._set_ready)
 
-    def _be_ready(self) -> None:
-        self.ready = self.ends_at is None
+    def _set_ready(self) -> None:
+        self.ready = self.drain_deadline is None
 
     def reload(self, config: Config) -> None:
-        """Moves discovery and the counter to their new addresses; clients, hosts and requests go on.
+        """Takes over new addresses of discovery and the counter; open connections and requests go on.
 
-        Only these two can change under way. The limits and the settings hold from start to end.
+        Nothing else is reloaded: limits and settings stay as they were at start.
         """
         if config.discovery != self.discovery.address:
-            log.info("discovery is now at %s", config.discovery)
+            log.info("discovery address is now %s", config.discovery)
             self.discovery.move(config.discovery)
         if config.counter == (self.counter.address if self.counter else None):
             return
-        log.info("the counter is now at %s", config.counter)
+        log.info("counter address is now %s", config.counter)
         if self.counter:
             self.counter.drain()
         self.counter = self._make_counter(config.counter)
@@ -152,11 +158,13 @@
     def _make_counter(self, address: Address | None) -> CounterClient | None:
         if address is None:
             return None
-        return CounterClient(address, self.settings.counter_timeout, self.config.connect_timeout, self.feed)
+        return CounterClient(
+            address, self.settings.counter_timeout, self.config.connect_timeout, self.dispatch
+        )
 
     def close(self) -> None:
-        """Lets go of all sockets, at once."""
-        self.watching.cancel()
+        """Closes all sockets at once."""
+        self.discovery_task.cancel()
         self.server.close()
         self.upstreams.close()
         if self.counter:
@@ -164,293 +172,322 @@
 
     # Events in, actions out
 
-    def feed(self, event: api.Event) -> None:
-        """Hands an event to the module; one that comes of carrying out an action waits its turn."""
+    def dispatch(self, event: api.Event) -> None:
+        """Passes an event to the decision module; one raised while an action is carried out is queued."""
         self.events.append(event)
-        if self.handling:
+        if self.processing:
             return
-        self.handling = True
+        self.processing = True
         try:
             while self.events:
-                self._handle(self.events.popleft())
+                self._process(self.events.popleft())
         finally:
-            self.handling = False
+            self.processing = False
 
-    def _handle(self, event: api.Event) -> None:
+    def _process(self, event: api.Event) -> None:
         try:
             actions = self.gateway.handle(self.clock.now(), event)
         except Exception:
-            log.exception("the decision module failed on %s", type(event).__name__)
+            log.exception("decision module failed on event %s", type(event).__name__)
             self._recover(event)
             return
         for action in actions:
             try:
-                self.actions[type(action)](action)
+                self.action_handlers[type(action)](action)
             except Exception:
-                log.exception("cannot carry out %r", action)
+                log.exception("cannot carry out action %r", action)
 
     def _recover(self, event: api.Event) -> None:
-        """The module failed on an event: its request is answered all the same, its timer set again."""
+        """After the module has failed on an event: answers the request, or sets the timer again."""
         if isinstance(event, api.TimerFired):
-            self._set_timer(api.SetTimer(event.token, self.delays.get(event.token, LOST_TIMER)))
+            self._set_timer(
+                api.SetTimer(event.token, self.timer_delays.get(event.token, DEFAULT_TIMER_DELAY_S))
+            )
         elif isinstance(event, api.Request):
-            self._give_up(self.held.get(event.id))
-        elif isinstance(event, api.AttemptDone) and (held := self.held.get(event.request)) and not held.out:
-            self._give_up(held)
+            self._reply_undecided(self.pending.get(event.id))
+        elif (
+            isinstance(event, api.AttemptDone)
+            and (pending := self.pending.get(event.request))
+            and not pending.outstanding
+        ):
+            self._reply_undecided(pending)
 
-    def _give_up(self, held: PendingRequest | None) -> None:
-        """The answer that nobody decided: a refusal only if trying again does no harm, else a failure."""
-        if held is None or held.answered:
+    def _reply_undecided(self, pending: PendingRequest | None) -> None:
+        """Answers a request without a decision: 503 only if trying again does no harm, else 502 or 504."""
+        if pending is None or pending.answered:
             return
         if (
-            held.may_have_run
-            and self.settings.classes[held.arrival.cls].idempotency is not api.Idempotency.SAFE
+            pending.may_have_run
+            and self.settings.classes[pending.request.class_index].idempotency is not api.Idempotency.SAFE
         ):
-            self._finish(held, 504 if held.timed_out else 502)
+            self._reply(pending, 504 if pending.last_timed_out else 502)
         else:
-            self._finish(held, 503, retry_after=self.settings.retry_after_limit)
-        self.feed(api.RequestAbandoned(held.arrival.id))
-
-    def _finish(self, held: PendingRequest, status: int, **answer: Any) -> None:  # noqa: ANN401
-        if not held.answered:
-            held.answered = True
-            held.exchange.reply(status, **answer)
-            self._forget(held)
-
-    def _forget(self, held: PendingRequest) -> None:
-        if held.answered and not held.out:
-            if held.timer:
-                held.timer.cancel()
-            self.held.pop(held.arrival.id, None)
-            held.exchange.held = None  # no cycles are left behind: nothing waits for the collector
-            held.attempts.clear()
-            if self.ends_at is not None:
-                self._end_if_done()
+            self._reply(pending, 503, retry_after=self.settings.retry_after_limit)
+        self.dispatch(api.RequestAbandoned(pending.request.id))
+
+    def _reply(self, pending: PendingRequest, status: int, **response: Any) -> None:  # noqa: ANN401
+        if not pending.answered:
+            pending.answered = True
+            pending.exchange.reply(status, **response)
+            self._remove_if_done(pending)
+
+    def _remove_if_done(self, pending: PendingRequest) -> None:
+        if pending.answered and not pending.outstanding:
+            if pending.timer:
+                pending.timer.cancel()
+            self.pending.pop(pending.request.id, None)
+            # Breaks the reference cycle, to be freed without garbage collection.
+            pending.exchange.pending_request = None
+            pending.attempts.clear()
+            if self.drain_deadline is not None:
+                self._stop_if_drained()
 
     # Clients
 
-    def take(self, exchange: Exchange, arrival: Arrival) -> None:
-        if arrival.id in self.held:  # ids are new with every request; two under one cannot be told apart
-            exchange.refuse(400, b"x-request-id: in use\n")
+    def handle_request(self, exchange: Exchange, request: ParsedRequest) -> None:
+        if request.id in self.pending:  # two requests with the same id could not be told apart
+            exchange.reject(400, b"x-request-id: in use\n")
             return
-        if len(self.held) >= self.config.most_held:
+        if len(self.pending) >= self.config.most_held:
             exchange.reply(503, retry_after=self.settings.retry_after_limit)
             return
         now = self.clock.now()
-        patience = min(arrival.time_out, self.settings.classes[arrival.cls].timeout)
-        expires_at = now + max(0.0, patience - ANSWER_ROOM)
-        if self.ends_at is not None:
-            expires_at = min(expires_at, self.ends_at)
-        held = PendingRequest(exchange, arrival, expires_at)
-        exchange.held = held
-        self.held[arrival.id] = held
-        self.feed(
+        timeout = min(request.timeout, self.settings.classes[request.class_index].timeout)
+        expires_at = now + max(0.0, timeout - RESPONSE_MARGIN_S)
+        if self.drain_deadline is not None:
+            expires_at = min(expires_at, self.drain_deadline)
+        pending = PendingRequest(exchange, request, expires_at)
+        exchange.pending_request = pending
+        self.pending[request.id] = pending
+        self.dispatch(
             api.Request(
-                id=arrival.id,
-                class_index=arrival.cls,
-                plan_index=arrival.plan,
-                customer=arrival.customer,
-                entry_gateways=arrival.entries,
+                id=request.id,
+                class_index=request.class_index,
+                plan_index=request.plan_index,
+                customer=request.customer,
+                entry_gateways=request.entry_gateways,
                 expires_at=expires_at,
-                units=arrival.units,
+                units=request.units,
             )
         )
-        if not held.answered:  # most requests of a busy day are refused at once and need no timer
-            held.timer = self.loop.call_later(max(0.0, expires_at - now), self._expire, held)
-
-    def client_left(self, exchange: Exchange) -> None:
-        held = exchange.held
-        if held is not None and not held.answered:
-            held.answered = True
-            self.feed(api.RequestAbandoned(held.arrival.id))
-            self._forget(held)
-
-    def _expire(self, held: PendingRequest) -> None:
-        """The client's time is up: attempts end as timed out, and what is then unanswered is answered."""
-        held.expires_at = min(held.expires_at, self.clock.now())  # a drain may have less time: no more sends
-        for attempt in list(held.attempts):
+        if not pending.answered:  # under load most requests are refused at once and need no timer
+            pending.timer = self.loop.call_later(max(0.0, expires_at - now), self._expire, pending)
+
+    def client_disconnected(self, exchange: Exchange) -> None:
+        pending = exchange.pending_request
+        if pending is not None and not pending.answered:
+            pending.answered = True
+            self.dispatch(api.RequestAbandoned(pending.request.id))
+            self._remove_if_done(pending)
+
+    def _expire(self, pending: PendingRequest) -> None:
+        """Ends the attempts of an expired request as timed out; answers it if nothing else has."""
+        # A drain may end before `expires_at`; nothing may be sent after it.
+        pending.expires_at = min(pending.expires_at, self.clock.now())
+        for attempt in list(pending.attempts):
             if not attempt.ended:
-                self.upstreams.give_up(attempt, Outcome.TIMEOUT)
-        self._give_up(held)
+                self.upstreams.abort_attempt(attempt, Outcome.TIMEOUT)
+        self._reply_undecided(pending)
 
-    # The module's actions
+    # Actions of the decision module
 
     def _send(self, action: api.Send) -> None:
-        held = self.held.get(action.request)
-        if held is None:
-            log.error("the decision module sent a request that is not held")
+        pending = self.pending.get(action.request)
+        if pending is None:
+            log.error("decision module ordered an attempt for a request that is not pending")
             return
         now, endpoint = self.clock.now(), self.discovery.endpoints.get(action.host)
-        number = len(held.attempts)
-        held.out += 1
+        number = len(pending.attempts)
+        pending.outstanding += 1
         if endpoint is None:
-            attempt = Attempt(action.host, ("", 0), lambda: None, partial(self._done, held), number, now)
-            held.attempts.append(attempt)
+            attempt = Attempt(
+                action.host, ("", 0), lambda: None, partial(self._attempt_done, pending), number, now
+            )
+            pending.attempts.append(attempt)
             attempt.end(Outcome.NOT_SENT)
             return
-        until = min(action.deadline or held.expires_at, held.expires_at)
+        deadline = min(action.deadline or pending.expires_at, pending.expires_at)
 
-        def payload() -> bytes | None:
-            if held.exchange.connection.gone():
-                self.client_left(held.exchange)
-            if held.answered or not self._may_go(endpoint):
+        def build_payload() -> bytes | None:
+            if pending.exchange.connection.is_disconnected():
+                self.client_disconnected(pending.exchange)
+            if pending.answered or not self._may_send_to(endpoint):
                 return None
-            left = until - self.clock.now()
-            return self._payload(held, left) if left > 0 else None
+            remaining = deadline - self.clock.now()
+            return self._build_request(pending, remaining) if remaining > 0 else None
 
-        attempt = Attempt(action.host, endpoint.address, payload, partial(self._done, held), number, now)
-        attempt.started_at = endpoint.server.started_at
-        held.attempts.append(attempt)
-        if until < held.expires_at - TIMER:
+        attempt = Attempt(
+            action.host, endpoint.address, build_payload, partial(self._attempt_done, pending), number, now
+        )
+        attempt.host_started_at = endpoint.host.started_at
+        pending.attempts.append(attempt)
+        if deadline < pending.expires_at - TIMER_RESOLUTION_S:
             attempt.timer = self.loop.call_later(
-                max(0.0, until - now), self.upstreams.give_up, attempt, Outcome.TIMEOUT
+                max(0.0, deadline - now), self.upstreams.abort_attempt, attempt, Outcome.TIMEOUT
             )
         self.upstreams.send(attempt)
 
-    def _may_go(self, chosen: Endpoint) -> bool:
-        """Whether a host is still the one that was chosen, and takes new work.
+    def _may_send_to(self, chosen: Endpoint) -> bool:
+        """Whether the chosen host is still listed with the same start time and address, and is not draining.
 
-        The time that a drain leaves belongs to those who hear of it late, as this gateway may have.
+        The drain grace is not used for new attempts, as this gateway may have learnt of the drain late.
         """
-        endpoint = self.discovery.endpoints.get(chosen.server.id)
-        return endpoint is not None and endpoint.place == chosen.place and not endpoint.leaving
+        endpoint = self.discovery.endpoints.get(chosen.host.id)
+        return (
+            endpoint is not None and endpoint.host_instance == chosen.host_instance and not endpoint.draining
+        )
 
     @staticmethod
-    def _payload(held: PendingRequest, left: float) -> bytes:
-        exchange = held.exchange
+    def _build_request(pending: PendingRequest, remaining: float) -> bytes:
+        exchange = pending.exchange
         body = exchange.body
         length = b"Content-Length: %d\r\n" % len(body) if body or exchange.method != b"GET" else b""
         return b"%b %b HTTP/1.1\r\n%bX-Timeout: %.3f\r\n%b\r\n%b" % (
             exchange.method,
             exchange.target,
-            b"".join([b"%b: %b\r\n" % h for h in exchange.headers if h[0].lower() not in NOT_PASSED_ON]),
-            left,
+            b"".join(
+                [b"%b: %b\r\n" % h for h in exchange.headers if h[0].lower() not in HEADERS_NOT_FORWARDED]
+            ),
+            remaining,
             length,
             body,
         )
 
-    def _done(self, held: PendingRequest, attempt: Attempt, outcome: Outcome, answer: Answer | None) -> None:
-        """An attempt's one outcome; the first whole answer goes to the client at once."""
-        held.out -= 1
-        held.may_have_run = held.may_have_run or outcome not in NOT_RUN
-        held.timed_out = outcome is Outcome.TIMEOUT
-        if outcome is Outcome.OK and answer and not held.answered:
-            held.answered = True
-            held.exchange.reply(200, answer.body, answer.headers)
-        self.feed(
+    def _attempt_done(
+        self, pending: PendingRequest, attempt: Attempt, outcome: Outcome, response: Response | None
+    ) -> None:
+        """Called once when an attempt ends; the first OK response goes to the client at once."""
+        pending.outstanding -= 1
+        pending.may_have_run = pending.may_have_run or outcome not in NOT_RUN
+        pending.last_timed_out = outcome is Outcome.TIMEOUT
+        if outcome is Outcome.OK and response and not pending.answered:
+            pending.answered = True
+            pending.exchange.reply(200, response.body, response.headers)
+        self.dispatch(
             api.AttemptDone(
-                request=held.arrival.id,
-                attempt=attempt.number,
+                request=pending.request.id,
+                attempt=attempt.index,
                 outcome=outcome,
                 delay=self.clock.now() - attempt.sent_at,
-                request_done=held.answered,
-                usage=answer.usage if answer else None,
-                units=answer.units if answer and outcome is Outcome.OK else None,
-                load_report=answer.report if answer else (),
-                connection_broken=attempt.broke,
+                request_done=pending.answered,
+                usage=response.usage if response else None,
+                units=response.units if response and outcome is Outcome.OK else None,
+                load_report=response.load_report if response else (),
+                connection_broken=attempt.connection_broken,
             )
         )
-        self._forget(held)
+        self._remove_if_done(pending)
 
     def _cancel(self, action: api.Cancel) -> None:
-        held = self.held.get(action.request)
-        if held and 0 <= action.attempt < len(held.attempts) and not held.attempts[action.attempt].ended:
-            self.upstreams.give_up(held.attempts[action.attempt], Outcome.CANCELLED)
+        pending = self.pending.get(action.request)
+        if (
+            pending
+            and 0 <= action.attempt < len(pending.attempts)
+            and not pending.attempts[action.attempt].ended
+        ):
+            self.upstreams.abort_attempt(pending.attempts[action.attempt], Outcome.CANCELLED)
 
     def _refuse(self, action: api.Refuse) -> None:
-        if held := self.held.get(action.request):
-            self._finish(held, 503, retry_after=action.retry_after)
+        if pending := self.pending.get(action.request):
+            self._reply(pending, 503, retry_after=action.retry_after)
 
     def _fail(self, action: api.Fail) -> None:
-        if held := self.held.get(action.request):
-            self._finish(held, 504 if held.timed_out else 502)
+        if pending := self.pending.get(action.request):
+            self._reply(pending, 504 if pending.last_timed_out else 502)
 
     def _set_timer(self, action: api.SetTimer) -> None:
-        self.delays[action.token] = action.delay
-        self.loop.call_later(max(0.0, action.delay), self.feed, api.TimerFired(action.token))
+        self.timer_delays[action.token] = action.delay
+        self.loop.call_later(max(0.0, action.delay), self.dispatch, api.TimerFired(action.token))
 
     def _probe(self, action: api.Probe) -> None:
-        endpoint, started = self.discovery.endpoints.get(action.host), self.clock.now()
+        endpoint, started_at = self.discovery.endpoints.get(action.host), self.clock.now()
 
-        def ended(attempt: Attempt, outcome: Outcome, answer: Answer | None) -> None:
-            report = answer.report if answer else ()
-            self.feed(api.ProbeDone(action.host, outcome, self.clock.now() - started, report))
+        def on_end(attempt: Attempt, outcome: Outcome, response: Response | None) -> None:
+            report = response.load_report if response else ()
+            self.dispatch(api.ProbeDone(action.host, outcome, self.clock.now() - started_at, report))
 
         text = f"GET /alive HTTP/1.1\r\nHost: {action.host}\r\n\r\n".encode()
-        attempt = Attempt(action.host, endpoint.address if endpoint else ("", 0), lambda: text, ended)
+        attempt = Attempt(action.host, endpoint.address if endpoint else ("", 0), lambda: text, on_end)
         if endpoint is None:
             attempt.end(Outcome.NOT_SENT)
             return
-        attempt.started_at = endpoint.server.started_at
+        attempt.host_started_at = endpoint.host.started_at
         attempt.timer = self.loop.call_later(
-            self.config.connect_timeout, self.upstreams.give_up, attempt, Outcome.TIMEOUT
+            self.config.connect_timeout, self.upstreams.abort_attempt, attempt, Outcome.TIMEOUT
         )
         self.upstreams.send(attempt)
 
-    def _count(self, action: api.CounterAdd) -> None:
+    def _counter_add(self, action: api.CounterAdd) -> None:
         if self.counter is None:
-            self.feed(api.CounterReply(action.name, False, 0.0))
+            self.dispatch(api.CounterReply(action.name, False, 0.0))
         else:
             self.counter.add(action.name, action.amount, action.lifetime)
 
-    # The list of hosts
+    # Host list
 
-    def _listed(
-        self, kind: api.ListKind, servers: tuple[api.HostInfo, ...], stale: list[HostInstance]
+    def _on_list_change(
+        self, kind: api.ListKind, hosts: tuple[api.HostInfo, ...], retired: list[HostInstance]
     ) -> None:
-        for place in stale:
-            self.upstreams.retire(place)
-        self.feed(api.HostList(kind, servers))
+        for instance in retired:
+            self.upstreams.retire(instance)
+        self.dispatch(api.HostList(kind, hosts))
 
-    # The end
+    # Shutdown
 
     def stop(self) -> None:
-        """SIGTERM: new connections may come for a while; what was taken is answered; then it ends."""
-        if self.ends_at is not None:
+        """Drains: accepts connections for a while longer, answers all requests it has, then stops."""
+        if self.drain_deadline is not None:
             return
-        log.info("stopping")
+        log.info("draining before exit")
         self.ready = False
-        last = min(DEADLINE, max(c.timeout for c in self.settings.classes)) + KILLED - BEFORE
-        self.ends_at = self.clock.now() + last
+        drain_time = (
+            min(MAX_TIMEOUT_BEFORE_KILL_S, max(c.timeout for c in self.settings.classes))
+            + KILL_DELAY_S
+            - KILL_MARGIN_S
+        )
+        self.drain_deadline = self.clock.now() + drain_time
         self.server.drain()
-        self.loop.call_later(min(ACCEPT, last), self._linger)
-        self.loop.call_later(min(ACCEPT + CROSSED, last), self._stop_accepting)
-        self.loop.call_later(last, self._end)
+        self.loop.call_later(min(ACCEPT_AFTER_SIGTERM_S, drain_time), self._close_idle)
+        self.loop.call_later(
+            min(ACCEPT_AFTER_SIGTERM_S + RECONNECT_GRACE_S, drain_time), self._stop_accepting
+        )
+        self.loop.call_later(drain_time, self._end_drain)
 
     def _stop_accepting(self) -> None:
         if self.stopped.done():
             return
-        self.accepting_ended = self.server.stop_accepting()
-        if not self.accepting_ended:
-            self.loop.call_later(STEP, self._stop_accepting)
-
-    def _linger(self) -> None:
-        """Closes idle connections until none is left; one with an unread request is served first."""
-        self.server.close_idle()
-        self._end_if_done()
+        self.listener_closed = self.server.stop_accepting()
+        if not self.listener_closed:
+            self.loop.call_later(DRAIN_POLL_S, self._stop_accepting)
+
+    def _close_idle(self) -> None:
+        """Closes idle connections, again and again until the node stops; unread requests are served first."""
+        self.server.close_idle_connections()
+        self._stop_if_drained()
         if not self.stopped.done():
-            self.loop.call_later(STEP, self._linger)
+            self.loop.call_later(DRAIN_POLL_S, self._close_idle)
 
-    def _end_if_done(self) -> None:
-        if self.accepting_ended and not self.server.connections:
-            self._ended()
+    def _stop_if_drained(self) -> None:
+        if self.listener_closed and not self.server.connections:
+            self._set_stopped()
 
-    def _end(self) -> None:
-        for held in list(self.held.values()):
-            self._expire(held)
-        self.server.close_idle()
-        self.loop.call_later(FLUSH, self._end_when_answered, MORE_STEPS)
+    def _end_drain(self) -> None:
+        for pending in list(self.pending.values()):
+            self._expire(pending)
+        self.server.close_idle_connections()
+        self.loop.call_later(FLUSH_S, self._stop_when_answered, MAX_EXTRA_POLLS)
 
-    def _end_when_answered(self, steps: int) -> None:
-        """Ends, but for a few more steps in which a late loop reads and answers what the kernel holds.
+    def _stop_when_answered(self, polls: int) -> None:
+        """Stops, after some more polls if responses are still owed.
 
-        A late loop runs its overdue timers ahead of its sockets, so FLUSH may be over before they are read.
+        A late event loop runs its overdue timers before it reads from its sockets, so FLUSH_S may have passed
+        before requests that the kernel holds are read and answered.
         """
-        if steps and (not self.accepting_ended or self.server.owes_answers()):
-            self.loop.call_later(STEP, self._end_when_answered, steps - 1)
+        if polls and (not self.listener_closed or self.server.has_pending_responses()):
+            self.loop.call_later(DRAIN_POLL_S, self._stop_when_answered, polls - 1)
         else:
-            self._ended()
+            self._set_stopped()
 
-    def _ended(self) -> None:
+    def _set_stopped(self) -> None:
         if not self.stopped.done():
             self.stopped.set_result(None)
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -9,7 +9,18 @@
 
 import pytest
 from helpers import Bench, full_list, host_info
-from net_helpers import Peer, answer, chunk, entry, line, request, run, running_gateway, settings, until
+from net_helpers import (
+    FakeServer,
+    chunk,
+    host_entry,
+    http_response,
+    list_message,
+    request,
+    run,
+    running_gateway,
+    settings,
+    until,
+)
 
 from coralvale import interface as api
 from coralvale.logic import MAX_CANDIDATES, MIN_CANDIDATES, MIN_SUBSET_SIZE
@@ -36,15 +47,19 @@
             return super().raw_decode(s, idx)
 
     async def test() -> None:
-        told: list[int] = []
-        discovery = Discovery(("127.0.0.1", 1), (), (), lambda _, hosts, __: told.append(len(hosts)))
-        watch = discovery.connection = Watch(discovery)
+        host_counts: list[int] = []
+        discovery = Discovery(("127.0.0.1", 1), (), (), lambda _, hosts, __: host_counts.append(len(hosts)))
+        watch = discovery.watch = Watch(discovery)
         names = [f's-{i:08x} "{{[' for i in range(SIZE)]  # brackets in a string must not count
-        message = {"index": 42, "snapshot": True, "endpoints": [entry(n, 1 + i) for i, n in enumerate(names)]}
+        message = {
+            "index": 42,
+            "snapshot": True,
+            "endpoints": [host_entry(n, 1 + i) for i, n in enumerate(names)],
+        }
         text = json.dumps(message, indent=indent).encode() + b"\n"
         for start in range(0, len(text), piece):
             watch.on_body(text[start : start + piece])
-        assert told == [SIZE] and set(discovery.endpoints) == set(names) and not watch.broken
+        assert host_counts == [SIZE] and set(discovery.endpoints) == set(names) and not watch.malformed
         assert sum(decoded) <= 2 * len(text)
 
     monkeypatch.setattr("coralvale.net.discovery.DECODER", CountingDecoder())
@@ -53,12 +68,12 @@
 
 def test_one_of_a_thousand_gateways_starts_with_a_thousand_hosts_and_serves_from_a_later_one() -> None:
     async def test() -> None:
-        host = await Peer(answer(body=b"served")).start()
-        known = [entry(f"s-{i}", 1 + i, status="leaving") for i in range(SIZE)]
+        host = await FakeServer(http_response(body=b"served")).start()
+        known = [host_entry(f"s-{i}", 1 + i, status="leaving") for i in range(SIZE)]
         async with running_gateway(*known, real_module=True, n_instances=SIZE, me=SIZE - 1) as w:
             watch = await w.registry.watch()
             assert len(w.node.discovery.endpoints) == SIZE
-            watch.reply(chunk(line(42, entry("s-last", host.port))))
+            watch.reply(chunk(list_message(42, host_entry("s-last", host.port))))
             await until(lambda: "s-last" in w.node.discovery.endpoints)
             quota = f"units=1,spread={SIZE},first={SIZE - 1}"
             assert (await w.ask(request(Quota_Info=quota))).body == b"served"
@@ -70,26 +85,26 @@
 
 @pytest.mark.parametrize("gateways", [SIZE, 230, 3])
 def test_subsets_share_a_thousand_hosts_evenly_and_a_choice_compares_few(gateways: int) -> None:
-    kept, hosts = Counter[str](), fleet()
+    counts, hosts = Counter[str](), fleet()
     for index in range(gateways):
         bench = Bench(hosts, gateways=gateways, index=index)
         bench.gateway._classify_hosts(bench.now)
         assert len(bench.gateway.warm_subset) == min(SIZE, max(MIN_SUBSET_SIZE, 4 * SIZE // gateways))
-        kept.update(host.info.id for host in bench.gateway.warm_subset)
-    assert set(kept) == {s.id for s in hosts} and max(kept.values()) - min(kept.values()) <= 2
+        counts.update(host.info.id for host in bench.gateway.warm_subset)
+    assert set(counts) == {s.id for s in hosts} and max(counts.values()) - min(counts.values()) <= 2
 
-    looked_at = 0
+    compared = 0
 
     def decayed_delay_ratio(now: float) -> float:
-        nonlocal looked_at
-        looked_at += 1
+        nonlocal compared
+        compared += 1
         return 1.0
 
     for host in bench.gateway.warm_subset:
         host.decayed_delay_ratio = decayed_delay_ratio  # type: ignore[method-assign]
     name, actions = bench.request()
     assert any(isinstance(a, api.Send) for a in actions)
-    assert MIN_CANDIDATES <= looked_at <= MAX_CANDIDATES
+    assert MIN_CANDIDATES <= compared <= MAX_CANDIDATES
 
 
 def test_the_state_of_a_host_is_small_and_is_dropped_with_it() -> None:
@@ -107,7 +122,7 @@
         "listen": "127.0.0.1:1",
         "discovery": "127.0.0.1:2",
         "seed": "1",
-        "known": {"index": 1, "snapshot": True, "endpoints": [entry(f"s-{i}", 1) for i in range(SIZE)]},
+        "known": {"index": 1, "snapshot": True, "endpoints": [host_entry(f"s-{i}", 1) for i in range(SIZE)]},
         "settings": settings(n_instances=SIZE, me=SIZE - 1),
     }
     config = parse_config(json.loads(json.dumps(data)))
