--- a/testbed/standins/hosts.py
+++ b/testbed/standins/hosts.py
@@ -1,4 +1,4 @@
-"""Hosts on loopback that serve, hang, reset, turn away or vanish, and tell what reached them."""
+"""Fake hosts on loopback that serve, hang, reset, reject or stop, and report the requests they receive."""
 
 from __future__ import annotations
 
@@ -9,36 +9,40 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from testbed.standins.http import Message, answer, parse_head
+from testbed.standins.http import Message, http_response, parse_head
 from testbed.standins.ports import free_port
 
-LEAST_SERVICE, MOST_SERVICE = 0.005, 0.04  # s that a request takes
+MIN_SERVICE_TIME_S, MAX_SERVICE_TIME_S = 0.005, 0.04
 
 
-class Mode(Enum):
-    """What a host does with a request that it has read whole."""
+class HostMode(Enum):
+    """What a host does with a request that it has read in full."""
 
     SERVES = "serves"
     HANGS = "hangs"
     RESETS = "resets"
-    TURNS_AWAY = "turns away"
+    REJECTS = "rejects"
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request that a host has read whole, with the times of its first and last byte (s, monotonic)."""
+    """A request that a host has read in full, with the times of its first and last byte (s, monotonic)."""
 
     message: Message
-    first_byte: float
-    at: float
+    first_byte_at: float
+    last_byte_at: float
 
     @property
-    def request(self) -> str:
+    def request_id(self) -> str:
         return self.message.headers.get(b"x-request-id", b"").decode()
 
 
 class Host:
-    """One host: `on_arrival` is told of each request, `on_end` of its end and whether it surely never ran."""
+    """A fake host.
+
+    `on_arrival` is called for each request read in full; `on_end` when it has been answered or dropped, with
+    whether it certainly was not processed.
+    """
 
     def __init__(
         self,
@@ -48,19 +52,19 @@
         on_end: Callable[[Host, Arrival, bool], None],
     ) -> None:
         self.name, self.service_time, self.on_arrival, self.on_end = name, service_time, on_arrival, on_end
-        self.mode = Mode.SERVES
-        self.started = 0.0  # Unix time of its last start, nought for long ago
+        self.mode = HostMode.SERVES
+        self.started_at = 0.0  # Unix time of its last start; 0: long ago
         self.port = free_port()
         self.server: asyncio.Server | None = None
         self.writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
-        """Listens, at the same port as before; nothing to do where it does already."""
+        """Listens on its port, the same one after each stop; does nothing if it listens already."""
         if self.server:
             return
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
 
-    def vanish(self) -> None:
+    def stop(self) -> None:
         """Closes the listener and resets all connections."""
         if self.server:
             self.server.close()
@@ -79,28 +83,28 @@
             writer.close()
 
     async def _serve_one(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-        """Reads and answers one request; tells whether the connection goes on."""
+        """Reads and handles one request; returns whether the connection stays open."""
         first = await reader.readexactly(1)
-        first_byte = time.monotonic()
+        first_byte_at = time.monotonic()
         message = parse_head(first + await reader.readuntil(b"\r\n\r\n"))
         message.body = await reader.readexactly(int(message.headers.get(b"content-length", b"0")))
-        arrival = Arrival(message, first_byte, time.monotonic())
+        arrival = Arrival(message, first_byte_at, time.monotonic())
         self.on_arrival(self, arrival)
         mode = self.mode
-        never_ran = mode is Mode.TURNS_AWAY
+        never_ran = mode is HostMode.REJECTS
         try:
-            if mode is Mode.HANGS:
-                await reader.read()  # until the gateway gives up
+            if mode is HostMode.HANGS:
+                await reader.read()  # until the gateway closes the connection
                 return False
-            if mode is Mode.RESETS:
+            if mode is HostMode.RESETS:
                 await asyncio.sleep(self.service_time() / 2)
                 writer.transport.abort()
                 return False
-            if mode is Mode.TURNS_AWAY:
-                writer.write(answer(503, b"", X_Not_Processed="1"))
+            if mode is HostMode.REJECTS:
+                writer.write(http_response(503, b"", X_Not_Processed="1"))
                 return True
             await asyncio.sleep(self.service_time())
-            writer.write(answer(200, arrival.request.encode()))
+            writer.write(http_response(200, arrival.request_id.encode()))
             return True
         finally:
             self.on_end(self, arrival, never_ran)
