--- a/coralvale/logic.py
+++ b/coralvale/logic.py
@@ -67,7 +67,7 @@
         self.retry_budget = 1.0  # retries that may be sent now
         self.admission = Admission(settings, self.random)
         # When the leak rates and the subset are next updated, and the host list is asked for again (0: not).
-        self.next_step_at, self.list_retry_at = 0.0, 0.0
+        self.next_update_at, self.list_retry_at = 0.0, 0.0
         self.refusal_log, self.actions = RefusalLog(interval=10.0), list[api.Action]()
         self.handlers: dict[type, Any] = {
             api.HostList: self._on_host_list,
@@ -82,7 +82,7 @@
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         self.actions = []
         if self.admission.started_at is None:
-            self.admission.started_at, self.next_step_at = (
+            self.admission.started_at, self.next_update_at = (
                 now,
                 now + RATE_UPDATE_INTERVAL_S * self.random.random(),
             )
@@ -444,7 +444,7 @@
         self.baseline_delays = [d * (1 + 0.01 * TIMER_INTERVAL_S) for d in self.baseline_delays]
         for reply in self.admission.overdue_replies(now):
             self._on_counter_reply(now, reply)
-        if now >= self.next_step_at:
-            self.next_step_at += RATE_UPDATE_INTERVAL_S
+        if now >= self.next_update_at:
+            self.next_update_at += RATE_UPDATE_INTERVAL_S
             self._choose_subset()
             self.admission.update_rates(now)
