--- a/coralvale/health.py
+++ b/coralvale/health.py
@@ -7,7 +7,7 @@
 
 from coralvale import interface as api
 
-DELAY_HALF_LIFE_S = 10.0  # of the deviation of a host's delay ratio from 1, while it sends no response
+DELAY_HALF_LIFE_S = 10.0  # in which, without a response, a host's delay ratio loses half its distance from 1
 SILENCE_LIMIT = 4.0  # mean delays without a response: by chance one attempt in fifty takes that long
 BROKEN_CONNECTION_THRESHOLD = 3  # broken connections with no response in between are a failure
 LOST_THRESHOLD = 16.0  # mean delays after which an attempt sent before the host's last response is lost
@@ -26,7 +26,8 @@
         self.outstanding: dict[tuple[str, int], float] = {}
         # Moving average of its delays, each divided by the mean delay of the class.
         self.delay_ratio, self.last_response_at = 1.0, now
-        # Recent failures, at most 4, halved by each success; and when the host is no longer avoided for them.
+        # Recent failures, at most 4; each success halves them, or sets them to 0 if below 1. The host is
+        # avoided until `backoff_until` because of them.
         self.failures, self.backoff_until = 0.0, 0.0
         self.broken_connections = 0  # since its last response
         self.reported_load, self.load_reported_at = 0.0, -math.inf  # requests, from its load reports
@@ -53,11 +54,11 @@
         return 1 + (self.delay_ratio - 1) * 0.5 ** ((now - self.last_response_at) / DELAY_HALF_LIFE_S)
 
     def is_unhealthy(self, now: float, mean_delay: float) -> bool:
-        """Whether the host gives no responses in time, or bad ones.
+        """Whether the host gives no responses in time, or bad ones, as measured by this gateway.
 
-        This covers stalled, crashed, hung, ageing and refusing hosts, which cannot be told apart. The more
-        attempts are outstanding (up to SILENCE_LIMIT), the shorter the silence that counts; a slow host is
-        given more time.
+        The host list may list it as healthy all the same. This covers stalled, crashed, hung, ageing and
+        refusing hosts, which cannot be told apart. The more attempts are outstanding (up to SILENCE_LIMIT),
+        the shorter the silence that counts; a slow host is given more time.
         """
         is_late = self.silent_for(now, mean_delay) * min(
             len(self.outstanding), SILENCE_LIMIT
@@ -66,7 +67,7 @@
         return is_late or now < self.backoff_until or (self.failures >= 1 and bool(self.outstanding))
 
     def record_failure(self, now: float, backoff: float) -> None:
-        """Records a failure; `backoff` is in seconds and doubles with each recent failure."""
+        """Records a failure; `backoff`, in seconds, is doubled up to four times, once per recent failure."""
         self.backoff_until = max(self.backoff_until, now + backoff * 2**self.failures)
         self.failures = min(self.failures + 1, 4)
 
--- a/coralvale/logic.py
+++ b/coralvale/logic.py
@@ -1,7 +1,9 @@
-"""All decisions of the gateway. Its events and actions are defined in coralvale/interface.py.
+"""All decisions of the gateway; those about quotas and ceilings are made by coralvale/admission.py.
 
-A new request passes these steps in order: the customer's quota, the checks before sending (open limit, time
-left, overload), the customer's ceiling, the choice of a host.
+The events and actions are defined in coralvale/interface.py. A new request passes these steps in order: a
+check that it has not expired, the customer's quota, the checks before sending (open limit, time left,
+overload), the customer's ceiling, the choice of a host. The quota and the ceiling may have to wait for a
+reply of the shared counter; after one about the ceiling's pool the checks before sending are repeated.
 """
 
 from __future__ import annotations
@@ -28,23 +30,23 @@
 )
 
 TIMER_INTERVAL_S = 0.1  # well under any delay that a client would notice
-HOST_BACKOFF_S = 0.5  # for which a failing host is avoided; doubled for each recent failure, up to four times
-RETRY_BUDGET_RATIO = 0.2  # retries earned by each request: a broad failure must not double the load
-RETRY_BUDGET_LIMIT_S = 0.5  # the budget is at most the responses expected in this time, plus one
+HOST_BACKOFF_S = 0.5  # how long a failing host is avoided; doubled once per recent failure, up to four times
+RETRY_BUDGET_RATIO = 0.2  # retries that each request adds to the budget: failures must not double the load
+RETRY_BUDGET_LIMIT_S = 0.5  # the budget is at most the successful responses expected in this time, plus one
 MAX_WAIT_FRACTION = 0.7  # longest acceptable wait, as a fraction of the time left to respond in time
 MAX_WAIT_MULTIPLE = 2.5  # longest acceptable wait, in baseline delays: a longer queue adds no throughput
 ASSUMED_HOST_CONCURRENCY = 4.0  # requests that a host of any size is assumed to process without a queue
 UNHEALTHY_PENALTY = 4.0  # factor on the expected wait at an unhealthy host
-MIN_SUBSET_SIZE = 12  # hosts; few enough for a gateway with little traffic to learn the health of each
-COLD_OVERLOAD_FRACTION = 0.5  # of `overload_multiple`, up to which a cold host may be loaded
-MIN_CANDIDATES = 4  # hosts drawn and compared for a request, and warm hosts in a subset
-MAX_CANDIDATES = 64  # the best of 64 hosts is as good as the best of a thousand
-QUOTA_RETRY_AFTER_FRACTION = 0.25  # of the latency target: longest Retry-After that leaves time for a retry
-EWMA_WEIGHT = 0.05  # of the newest sample; the average over about 20 samples is accurate to a fifth
-MIN_TIMEOUT_MULTIPLE = 5.0  # mean delays that an attempt gets at least: one in a hundred takes longer
+MIN_SUBSET_SIZE = 12  # hosts; few, so that a gateway with little traffic still learns the health of each
+COLD_OVERLOAD_FRACTION = 0.5  # load that a cold host may get, as a fraction of what would overload it
+MIN_CANDIDATES = 4  # hosts drawn for a request, at least; also the least number of warm hosts in a subset
+MAX_CANDIDATES = 64  # hosts drawn for a request, at most: the best of 64 is as good as the best of a thousand
+QUOTA_RETRY_AFTER_FRACTION = 0.25  # longest Retry-After, in latency targets: the retry must come in time
+EWMA_WEIGHT = 0.05  # weight of the newest sample; the average over about 20 samples is accurate to a fifth
+MIN_TIMEOUT_MULTIPLE = 5.0  # shortest early timeout, in mean delays: one attempt in a hundred takes longer
 RETRY_RESERVE_MULTIPLE = 3.0  # mean delays before the latency target that are reserved for a retry
-MIN_RETRY_RESERVE_S = 0.02  # reserved at least: a loaded gateway may notice a timeout this much late
-# Outcomes after which the request has surely not run at the host.
+MIN_RETRY_RESERVE_S = 0.02  # least time reserved for a retry: a loaded gateway may notice a timeout this late
+# Outcomes after which it is certain that the host has not run the request.
 NOT_RUN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
@@ -54,7 +56,7 @@
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.settings, self.random = settings, random.Random(seed)
         self.hosts: dict[str, Host] = {}  # by id
-        self.warm_hosts, self.cold_hosts = list[Host](), list[Host]()  # the healthy ones of the host list
+        self.warm_hosts, self.cold_hosts = list[Host](), list[Host]()  # those listed as healthy
         self.warm_subset, self.cold_subset = list[Host](), list[Host]()  # those that this gateway uses
         self.classify_at = -math.inf  # when the next cold host becomes warm
         self.busy_hosts: dict[Host, None] = {}  # an ordered set: hosts with outstanding attempts
@@ -66,7 +68,8 @@
         self.throughput = EventRate(EWMA_WEIGHT)  # successful attempts a second
         self.retry_budget = 1.0  # retries that may be sent now
         self.admission = Admission(settings, self.random)
-        # When the leak rates and the subset are next updated, and the host list is asked for again (0: not).
+        # When the leak rates and the subset are next updated; when the host list is asked for again after a
+        # failed call (0: no call is to be repeated).
         self.next_update_at, self.list_retry_at = 0.0, 0.0
         self.refusal_log, self.actions = RefusalLog(interval=10.0), list[api.Action]()
         self.handlers: dict[type, Any] = {
@@ -149,11 +152,12 @@
     def _excess_wait(self, now: float, request: api.Request) -> float:
         """Seconds by which the expected wait exceeds the longest acceptable one, 0 if it does not.
 
-        By Little's law the wait is the number of outstanding attempts divided by the throughput. This request
-        counts as one more attempt, and as one more response per mean delay.
+        By Little's law the wait is the number of outstanding attempts divided by the throughput. One attempt
+        is added for this request, and 1 / mean delay to the throughput, which is then above 0.
 
-        The result is also 0 if the delay is below half of the acceptable wait, and if this gateway's share of
-        the hosts can process the outstanding attempts without a queue: refusing would not shorten the delay.
+        The result is also 0 in two cases: the mean delay of the class is below half of the acceptable wait;
+        or this gateway's share of the hosts can process the outstanding attempts without a queue, so that
+        refusing would not shorten the delay.
         """
         delay, target = (
             self.class_delays[request.class_index],
@@ -170,7 +174,8 @@
             if now >= host.backoff_until
             and host.silent_for(now, self.mean_delay) <= SILENCE_LIMIT * self.mean_delay
         ]
-        # If most of the busy hosts do not respond, they are overloaded rather than hung: all attempts count.
+        # If most of the busy hosts do not respond, they are overloaded rather than hung: the attempts at all
+        # busy hosts count (except lost ones).
         if 2 * len(responsive) < len(self.busy_hosts):
             responsive = list(counts.values())
         rate, hosts = (
@@ -206,7 +211,7 @@
         self.hosts, self.classify_at = hosts, -math.inf
 
     def _classify_hosts(self, now: float) -> None:
-        """Splits the healthy hosts into warm and cold, when the list has changed or one has become warm."""
+        """Splits the hosts listed as healthy into warm and cold, if the list changed or one became warm."""
         if now >= self.classify_at:
             healthy = [h for h in self.hosts.values() if h.info.state is api.HostState.HEALTHY]
             self.warm_hosts = [h for h in healthy if h.capacity_fraction(self.settings, now) >= 1]
@@ -216,7 +221,7 @@
             self._choose_subset()
 
     def _choose_subset(self) -> None:
-        """Chooses the subset of hosts that this gateway uses: a section of the ring of all hosts.
+        """Chooses the subset of hosts that this gateway uses: a section of the ring of warm and cold hosts.
 
         The sections of the gateways start at even distances, so every host is in about as many subsets. If
         subsets were drawn at random, some hosts would be in twice as many as others, and each new draw would
@@ -234,10 +239,11 @@
 
     def _pick_cold_host(self, now: float) -> Host | None:
         """Draws a cold host for a first attempt, by present capacity; None means to use a warm host."""
-        # However many hosts are cold, a load that the subset could bear if all of it were warm gives a cold
-        # host at most COLD_OVERLOAD_FRACTION of what would overload it, or its present capacity if that is
-        # more. The draw ignores queue lengths and saves up no credit, so the shares of hundreds of gateways
-        # add up to no more than that.
+        # A cold host gets at most the share of the load that its present capacity has in the subset's total.
+        # If that total is low because many hosts are cold, the draw assumes a minimum instead: a load that
+        # the subset could process with all its hosts warm then gives a cold host, on average, at most
+        # COLD_OVERLOAD_FRACTION of what would overload it, or its present capacity if that is more. Draws
+        # depend neither on queue lengths nor on earlier draws, so this holds for all gateways together too.
         capacities = [h.scale * h.capacity_fraction(self.settings, now) for h in self.cold_subset]
         warm_capacity = sum(h.scale for h in self.warm_subset)
         min_total_capacity = (warm_capacity + sum(h.scale for h in self.cold_subset)) / max(
@@ -270,8 +276,8 @@
             )
             wait = (1 + (len(host.outstanding) + reported) / host.scale) * host.decayed_delay_ratio(now)
             wait *= 1 + 0.1 * self.random.random() + (0.02 if host.info.zone != self.settings.zone else 0)
-            # Unhealthy hosts rank lower but are not excluded: if most hosts are unhealthy, the others could
-            # not take all requests.
+            # Hosts that are unhealthy by this gateway's measurements rank lower but are not excluded: if most
+            # hosts are unhealthy, the others could not take all requests.
             if (
                 wait := wait * UNHEALTHY_PENALTY if host.is_unhealthy(now, self.mean_delay) else wait
             ) < min_wait:
@@ -281,8 +287,9 @@
     def _may_retry_on(self, now: float, pending: PendingRequest, host: Host) -> bool:
         """Whether a retry may go to this host.
 
-        No host is tried twice. A keyed request that may have run may only go to hosts that recognise its key,
-        and only while they remember it; an unsafe request that may have run may not be retried at all.
+        No host is tried twice. If the request may have run, it depends on its class: a safe request may go to
+        any other host; a keyed one only to hosts that recognise its key, while they remember it; an unsafe
+        one is not retried.
         """
         was_tried = any(a.host.info.id == host.info.id for a in pending.attempts)
         first, cls = pending.may_have_run, self.settings.classes[pending.request.class_index]
@@ -320,6 +327,8 @@
         early = min(pending.request.expires_at, pending.arrived_at + cls.latency_target) - max(
             RETRY_RESERVE_MULTIPLE * delay, MIN_RETRY_RESERVE_S
         )
+        # After a timeout the request may have run, so only a safe one can be retried at any other host. If a
+        # late response has some worth, the attempt may take until the request expires.
         may_retry = cls.idempotency is Idempotency.SAFE and not cls.late_worth
         may_retry = (
             may_retry
@@ -336,7 +345,11 @@
                 pending.reservation.release()
 
     def _on_request_closed(self, now: float, event: api.RequestAbandoned | api.StreamStarted) -> None:
-        """The client has left or a streamed response has started: no further attempt is sent."""
+        """Handles a request that gets no further attempt: its client has left or has been answered.
+
+        A streamed response counts as the answer once its first part has gone to the client, since no other
+        response can replace it.
+        """
         self.admission.abandon_request(event.request)
         if pending := self.requests.get(event.request):
             self._close_request(event.request, pending)
--- a/coralvale/state.py
+++ b/coralvale/state.py
@@ -62,7 +62,7 @@
 class Reason(StrEnum):
     """Why a request is refused, as written in the log line."""
 
-    ATTEMPTS_USED_UP = "attempts used up"
+    ATTEMPTS_USED_UP = "attempts used up"  # also no time, retry budget or host left for a retry
     CEILING = "ceiling"
     NO_HOST = "no server"
     OPEN_LIMIT = "open limit"
