--- a/coralvale/admission.py
+++ b/coralvale/admission.py
@@ -109,9 +109,9 @@
         reservation.release()
         return Refused(request, Reason.CEILING, wait)
 
-    def abandon_request(self, request: str) -> None:
+    def abandon_request(self, request_id: str) -> None:
         """Releases the request of a client that has left, if it awaits a reply of the counter."""
-        self.shared_quota.abandon_request(request)
+        self.shared_quota.abandon_request(request_id)
 
     def overdue_replies(self, now: float) -> list[api.CounterReply]:
         """Failed replies to handle in place of lost ones, so that neither requests nor units are lost."""
--- a/coralvale/restrictor.py
+++ b/coralvale/restrictor.py
@@ -25,7 +25,9 @@
 RATE_DAMPING = 0.5  # share of the step to the target leak rate made in one update; avoids oscillation
 MAX_RATE_GROWTH = 0.5  # share by which the target leak rate of an update may exceed the current one
 READING_MAX_AGE_S = 4.0  # after which a usage reading is stale; twice the meter's usual delay
-MIN_RATE_RETURN_SHARE = 0.25  # share of the step back to the minimum made in one update without readings
+RATE_DECAY_WITHOUT_READINGS = (
+    0.25  # share of the step back to the minimum made in one update without readings
+)
 DEMAND_TIME_CONSTANT_S = 8.0  # of the mean demand; a customer's requests here are some seconds apart
 WIDE_SET_DEMAND_TIME_CONSTANT_S = 20.0  # the same for a wide set, whose gateways see fewer of the requests
 # Estimated demand, as a multiple of the plan's rate, at which a customer is surely below its quota, or above.
@@ -68,9 +70,12 @@
         self.admitted_units, self.open_attempts = 0.0, 0
         # Units a second admitted here; the same, delayed about as much as readings of the meter are; metered
         # use of the customer over all gateways, as a multiple of the plan's rate. All are moving averages.
-        self.admitted_rate = self.delayed_admitted_rate = self.smoothed_usage = 0.0
-        self.last_usage, self.usage_at = 0.0, -math.inf  # newest reading of the meter, and when it arrived
-        self.recent_usage = 0.0  # moving average of the last few readings
+        self.admitted_rate = self.delayed_admitted_rate = self.usage_for_rate = 0.0
+        self.latest_reading, self.usage_at = (
+            0.0,
+            -math.inf,
+        )  # newest reading of the meter, and when it arrived
+        self.usage_for_demand = 0.0  # moving average of the last few readings
         self.demand, self.demand_at = 0.0, now  # units a second requested here, refused requests included
         self.unreported_units = 0.0  # to be added to the shared bucket with the next call; may be negative
         self.shared_blocked_until = -math.inf  # until then the shared bucket is known to have no room
@@ -136,7 +141,7 @@
         demand_ratio /= self.traffic_skew
         if self.entries >= WIDE_SET_MIN_GATEWAYS and self.drained_at - self.usage_at < RECENT_USAGE_MAX_AGE_S:
             # Both estimates are noisy: a reading covers a short period, and few requests arrive here.
-            demand_ratio = (self.recent_usage + demand_ratio) / 2
+            demand_ratio = (self.usage_for_demand + demand_ratio) / 2
         # 1 if demand is light, 0 if it is heavy, in between in proportion.
         lightness = min(
             1.0, max(0.0, (HEAVY_DEMAND_RATIO - demand_ratio) / (HEAVY_DEMAND_RATIO - LIGHT_DEMAND_RATIO))
@@ -150,8 +155,8 @@
         """Records a reading of the meter: the customer's use over all gateways as a multiple of its rate."""
         usage = min(usage, MAX_USAGE)
         is_recent = now - self.usage_at < RECENT_USAGE_MAX_AGE_S
-        self.recent_usage += (USAGE_EWMA_WEIGHT if is_recent else 1.0) * (usage - self.recent_usage)
-        self.last_usage, self.usage_at = usage, now
+        self.usage_for_demand += (USAGE_EWMA_WEIGHT if is_recent else 1.0) * (usage - self.usage_for_demand)
+        self.latest_reading, self.usage_at = usage, now
 
     def record_demand(self, now: float, units: float) -> None:
         """Adds a request to the demand; called after its decision, which uses the demand without it."""
@@ -260,10 +265,10 @@
         )
         self.admitted_units = 0.0
         if now - self.usage_at > READING_MAX_AGE_S:
-            self.rate += MIN_RATE_RETURN_SHARE * (self.min_rate - self.rate)
+            self.rate += RATE_DECAY_WITHOUT_READINGS * (self.min_rate - self.rate)
             return
-        self.smoothed_usage += USAGE_EWMA_WEIGHT * (self.last_usage - self.smoothed_usage)
+        self.usage_for_rate += USAGE_EWMA_WEIGHT * (self.latest_reading - self.usage_for_rate)
         max_rate = self.rate * (1 + MAX_RATE_GROWTH)
         # Usage is metered units over the plan's rate, so this is the plan's rate times admitted over metered.
-        target = self.delayed_admitted_rate / self.smoothed_usage if self.smoothed_usage > 0 else max_rate
+        target = self.delayed_admitted_rate / self.usage_for_rate if self.usage_for_rate > 0 else max_rate
         self.rate += RATE_DAMPING * (max(self.min_rate, min(target, max_rate, self.plan.rate)) - self.rate)
--- a/coralvale/shared_quota.py
+++ b/coralvale/shared_quota.py
@@ -30,8 +30,8 @@
 COUNTER_ENTRY_TTL_S = 60.0  # for which the counter keeps an entry; the longest that it allows
 COUNTER_ENTRY_ROTATION_S = 50.0  # for which an entry serves; the next starts empty, with a full burst to use
 ROTATION_PHASES = 97  # points in the rotation time at which entries are replaced, spread over the customers
-MIN_TIME_LEFT_TIMEOUTS = 4.0  # counter timeouts that a request must have left for the counter to be asked
-REPLY_LOST_TIMEOUTS = 2.0  # counter timeouts after which a reply is taken to be lost
+MIN_TIME_LEFT_IN_TIMEOUTS = 4.0  # counter timeouts that a request must have left for the counter to be asked
+LOST_REPLY_AGE_IN_TIMEOUTS = 2.0  # counter timeouts after which a reply is taken to be lost
 UNDO_FILL_UP_THRESHOLD = 0.5  # share of UNDERFLOW_TOLERANCE; fill-ups of a smaller underflow are undone
 INITIAL_COVERAGE = 0.75  # below 1, as all gateways may start at once
 COVERAGE_ALL_CUSTOMERS = 1.0  # coverage from which on all customers are counted
@@ -140,7 +140,7 @@
         self.mean_price += MEAN_PRICE_EWMA_WEIGHT * (price - self.mean_price) if self.mean_price else price
         # If not all customers can be counted, all gateways choose the same ones: a shared bucket that is told
         # of a part of the use only is no better than none. Those with higher prices are more likely chosen.
-        in_time = request.expires_at - now > MIN_TIME_LEFT_TIMEOUTS * timeout
+        in_time = request.expires_at - now > MIN_TIME_LEFT_IN_TIMEOUTS * timeout
         return (
             in_time
             and request.customer * GOLDEN_RATIO_CONJUGATE % 1 * self.mean_price < self.coverage * price
@@ -183,7 +183,7 @@
         request, restrictor = reservation.request, reservation.restrictor
         if (
             not restrictor.pool_limits[0]
-            or request.expires_at - now <= MIN_TIME_LEFT_TIMEOUTS * self.settings.counter_timeout
+            or request.expires_at - now <= MIN_TIME_LEFT_IN_TIMEOUTS * self.settings.counter_timeout
         ):
             return []
         name, started_at = self._current_counter_entry(now, request.customer + POOL_KEY_OFFSET)
@@ -300,14 +300,14 @@
             self._enqueue(PendingCall(now, bucket, amount, call.restrictor, is_fill_up=True))
         ]
 
-    def abandon_request(self, request: str) -> None:
+    def abandon_request(self, request_id: str) -> None:
         """Releases the request of a client that has left: no reply decides on it any more."""
-        if reservation := self.waiting.pop(request, None):
+        if reservation := self.waiting.pop(request_id, None):
             reservation.release()
 
     def overdue_calls(self, now: float) -> list[int]:
         """Entry names of the calls whose reply is taken to be lost, one for each call."""
-        max_age = REPLY_LOST_TIMEOUTS * self.settings.counter_timeout
+        max_age = LOST_REPLY_AGE_IN_TIMEOUTS * self.settings.counter_timeout
         return [
             name for name, calls in self.pending.items() for call in calls if now - call.sent_at > max_age
         ]
--- a/tests/test_quota_faults.py
+++ b/tests/test_quota_faults.py
@@ -61,7 +61,7 @@
         bench.wait(RATE_UPDATE_INTERVAL_S)
         if second == 20:
             assert bench.gateway.admission.restrictors[1].rate < PLANS[BASIC].rate
-    assert bench.gateway.admission.restrictors[1].smoothed_usage == pytest.approx(0.5, rel=0.1)
+    assert bench.gateway.admission.restrictors[1].usage_for_rate == pytest.approx(0.5, rel=0.1)
 
 
 def test_a_huge_reading_has_the_same_effect_as_one_far_above_the_quota() -> None:
--- a/tests/test_quota_input.py
+++ b/tests/test_quota_input.py
@@ -143,7 +143,7 @@
                 assert restrictor.min_rate - tolerance <= restrictor.rate <= restrictor.plan.rate + tolerance
             else:
                 assert restrictor.rate == 0
-            assert 0 <= restrictor.recent_usage <= 1e300 and 0 <= restrictor.smoothed_usage <= 1e300
+            assert 0 <= restrictor.usage_for_demand <= 1e300 and 0 <= restrictor.usage_for_rate <= 1e300
             assert 0 <= restrictor.demand <= sum(r.units for r in requests)
             # Bounded by the burst and the units in flight at once, which may be those of all requests.
             units = MAX_UNITS * len(requests)
--- a/tests/test_restrictor.py
+++ b/tests/test_restrictor.py
@@ -76,7 +76,7 @@
     restrictor = Restrictor(PLAN, 30, now=100.0, born=0.0)
     for at, reading in ((100.0, 0.0), (102.0, 0.4), (104.0, 1.2)):
         restrictor.record_usage(at, reading)
-    assert 0.5 < restrictor.recent_usage < 0.9
+    assert 0.5 < restrictor.usage_for_demand < 0.9
 
 
 def test_a_light_customer_has_its_burst_also_at_its_busiest_gateway() -> None:
