--- a/coralvale/admission.py
+++ b/coralvale/admission.py
@@ -3,8 +3,10 @@
 Usually the local bucket decides, this gateway's own leaky bucket for the customer (NICC ND1621, clause 5 and
 figure 4). If this gateway sees too little of the customer's traffic for that (the customer is undersampled),
 the shared bucket decides: one for all gateways, on the shared counter. The counter is not asked if it may not
-be used, if a request beyond the quota costs no more than it earns, if the request has no time to wait, or if
-the counter is too congested to count the customer. Then the local bucket decides after all.
+be used, if a request beyond the quota costs no more than it earns, if the request has no time to wait, if the
+counter is too congested to count the customer, or if the request is not sampled (the counter is asked about
+only a part of the requests, more of the large ones). Then the local bucket decides after all, as it does if a
+reply has no usable total.
 """
 
 from __future__ import annotations
@@ -17,12 +19,11 @@
 from coralvale.shared_quota import Calls, PendingCall, SharedQuota, has_total
 from coralvale.state import Admitted, Decision, Pending, Reason, Refused
 
-EXCESS_COST_FACTOR = (
-    2.0  # on the net cost of a request beyond the quota; above 1, as the total of such costs is limited too
-)
-SIZE_PENALTY_EXPONENT = 3.0  # of the fall in admission probability with a request's size
-MEAN_UNITS_EWMA_WEIGHT = 0.02  # of the newest request in the mean units of its plan
-IDLE_TIMEOUT_S = 60.0  # after which a customer's restrictor is dropped, once its bucket is empty
+# Factor on the net cost of a request beyond the quota; above 1, as the total of such costs is limited too.
+EXCESS_COST_FACTOR = 2.0
+SIZE_PENALTY_EXPONENT = 3.0  # how steeply the admission probability falls with a request's size
+MEAN_UNITS_EWMA_WEIGHT = 0.02  # weight of the newest request in the mean units of its plan
+IDLE_TIMEOUT_S = 60.0  # time without requests after which a customer's restrictor may be dropped
 
 
 class Admission:
@@ -136,7 +137,8 @@
     def _decide_locally(self, now: float, reservation: Reservation, is_represented: bool = False) -> Decision:
         """Decides by the local bucket.
 
-        `is_represented`: sampling has left the request out, so sampled ones report its units to the counter.
+        `is_represented`: the counter is not asked about the request; the calls of sampled requests report its
+        units as extrapolated units.
         """
         request, restrictor = reservation.request, reservation.restrictor
         wait = restrictor.bucket_wait(request.units)
--- a/coralvale/reservation.py
+++ b/coralvale/reservation.py
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True, eq=False)
 class Reservation:
-    """The units of one request by place, from its first call to the counter or its charge on.
+    """The units of one request by place, since its first call to the counter or its charge.
 
     It is released at most once.
     """
@@ -25,7 +25,7 @@
     pool_units: float = 0.0  # the same for the pool of the ceiling
     local_units: float = 0.0  # by which the request has increased the local bucket's fill
     ceiling_tokens_taken: float = 0.0  # from this gateway's share of the ceiling
-    max_ceiling_tokens: float = 0.0  # that this share could hold when they were taken
+    max_ceiling_tokens: float = 0.0  # the most that the share could hold when they were taken
     released: bool = False
 
     def charge(self) -> None:
@@ -59,7 +59,7 @@
         restrictor.refund_ceiling(self.ceiling_tokens_taken, self.max_ceiling_tokens)
 
     def handle_call_not_added(self, amount: float, is_pool: bool) -> None:
-        """Handles a call for this request that was certainly not added to its entry on the counter.
+        """Handles a call for this request that was certainly not added to its counter entry.
 
         What the call carried besides the request's own units is queued for the next call. If the request has
         been released, `release` has queued the removal of its own units, so they are queued as well.
--- a/coralvale/restrictor.py
+++ b/coralvale/restrictor.py
@@ -6,11 +6,14 @@
 
 The plan's rate and burst hold for all entry gateways together. So each gateway sets its leak rate, once a
 second, to its share of the plan's rate: the share of the customer's metered use that it has admitted, but
-never less than an even share. Its threshold is a share of the burst that follows from the leak rate.
+never less than an even share. Its threshold is a part of the burst that follows from the leak rate, the
+customer's demand and the cost of a wrong admission; see `Restrictor.threshold`.
+
+A customer with WIDE_SET_MIN_GATEWAYS or more entry gateways is said to have a wide set of them.
 
 A ceiling is a second limit, which must not be exceeded whatever the quota allows. Each entry gateway has an
-even share of it, kept as a token bucket. For a customer with many entry gateways (a wide set), a part of the
-ceiling is pooled on the shared counter instead; see coralvale/shared_quota.py.
+even share of it, kept as a token bucket. For a wide set, a part of the ceiling may be pooled on the shared
+counter instead; see coralvale/shared_quota.py.
 """
 
 from __future__ import annotations
@@ -20,26 +23,31 @@
 
 from coralvale import interface as api
 
-USAGE_EWMA_WEIGHT = 0.5  # of the newest value in the means of admitted and metered use; damps single outliers
-RATE_UPDATE_INTERVAL_S = 1.0  # between updates of the leak rate
+USAGE_EWMA_WEIGHT = 0.5  # weight of the newest value in the averages of use; damps single outliers
+RATE_UPDATE_INTERVAL_S = 1.0  # interval between updates of the leak rate
 RATE_DAMPING = 0.5  # share of the step to the target leak rate made in one update; avoids oscillation
 MAX_RATE_GROWTH = 0.5  # share by which the target leak rate of an update may exceed the current one
-READING_MAX_AGE_S = 4.0  # after which a usage reading is stale; twice the meter's usual delay
-RATE_DECAY_WITHOUT_READINGS = (
-    0.25  # share of the step back to the minimum made in one update without readings
-)
-DEMAND_TIME_CONSTANT_S = 8.0  # of the mean demand; a customer's requests here are some seconds apart
-WIDE_SET_DEMAND_TIME_CONSTANT_S = 20.0  # the same for a wide set, whose gateways see fewer of the requests
-# Estimated demand, as a multiple of the plan's rate, at which a customer is surely below its quota, or above.
+READING_MAX_AGE_S = 4.0  # age above which a usage reading is stale; twice the meter's usual delay
+# Share of the step from the leak rate to its minimum that is made in one update without a fresh reading.
+RATE_DECAY_WITHOUT_READINGS = 0.25
+# Time constants of the average demand. A customer's requests are some seconds apart at one gateway, and
+# further apart for a wide set, whose gateways each see fewer of them.
+DEMAND_TIME_CONSTANT_S = 8.0
+WIDE_SET_DEMAND_TIME_CONSTANT_S = 20.0
+# Estimated demand as a multiple of the plan's rate: up to the first a customer counts as light, from the
+# second as heavy.
 LIGHT_DEMAND_RATIO, HEAVY_DEMAND_RATIO = 0.4, 1.0
-BREAK_EVEN_COST = 1.0  # net cost of a wrong admission that equals that of a wrong refusal, in requests' worth
-UNDERSAMPLED_UNITS_RATIO = 2.0  # of a request's units to an even share of the burst; undersampled above it
-WIDE_SET_MIN_GATEWAYS = 8  # entry gateways from which on each sees too little of a customer's traffic
-UNDERFLOW_TOLERANCE = 0.25  # share of its burst by which a bucket on the counter may run below empty
-MAX_USAGE = 8.0  # multiple of the plan's rate to which readings are clamped; higher ones tell no more
-POOLED_CEILING_SHARE = 0.4  # of a wide set's ceiling; the rest is divided evenly among the gateways
-RECENT_USAGE_MAX_AGE_S = 15.0  # for which readings still tell a light customer from a heavy one
-LOCAL_BLOCK_EXTRA_S = 20.0  # for which the local bucket admits nothing after the shared bucket has room again
+# Net cost at which a wrong admission is as bad as a wrong refusal, as a multiple of a request's worth.
+BREAK_EVEN_COST = 1.0
+# A customer is undersampled if a request's units are more than this many times an even share of the burst, in
+# other words if such a share holds fewer requests than the inverse of this.
+UNDERSAMPLED_UNITS_RATIO = 2.0
+WIDE_SET_MIN_GATEWAYS = 8  # with so many entry gateways, each sees little of a customer's traffic
+UNDERFLOW_TOLERANCE = 0.25  # a shared bucket's fill may be negative by this share of its burst
+MAX_USAGE = 8.0  # highest usage reading, as a multiple of the plan's rate; larger ones say nothing more
+POOLED_CEILING_SHARE = 0.4  # pooled share of a wide set's ceiling; the gateways divide the rest evenly
+RECENT_USAGE_MAX_AGE_S = 15.0  # age up to which a usage reading still shows whether demand is light
+LOCAL_BLOCK_EXTRA_S = 20.0  # time after `shared_blocked_until` in which the local bucket still admits nothing
 
 
 @cache
@@ -68,29 +76,37 @@
         self.fill, self.drained_at, self.last_request_at = 0.0, now, now  # fill in units, as of drained_at
         # Units admitted since the last rate update; attempts of the customer that are outstanding.
         self.admitted_units, self.open_attempts = 0.0, 0
-        # Units a second admitted here; the same, delayed about as much as readings of the meter are; metered
-        # use of the customer over all gateways, as a multiple of the plan's rate. All are moving averages.
+        # Moving averages for the leak rate: units a second admitted here; the same, delayed about as much as
+        # readings of the meter are; and the customer's metered use over all gateways, as a multiple of the
+        # plan's rate, which takes in the latest reading, if fresh, at each update of the leak rate.
         self.admitted_rate = self.delayed_admitted_rate = self.usage_for_rate = 0.0
         self.latest_reading, self.usage_at = (
             0.0,
             -math.inf,
         )  # newest reading of the meter, and when it arrived
-        self.usage_for_demand = 0.0  # moving average of the last few readings
-        self.demand, self.demand_at = 0.0, now  # units a second requested here, refused requests included
-        self.unreported_units = 0.0  # to be added to the shared bucket with the next call; may be negative
-        self.shared_blocked_until = -math.inf  # until then the shared bucket is known to have no room
-        self.pool_blocked_until = -math.inf  # the same for the pool of the ceiling
-        self.unreported_pool_units = 0.0  # the same for the pool; negative: to be taken back from it
+        self.usage_for_demand = 0.0  # moving average that takes in each reading once, as it arrives
+        # Average units a second requested here as of demand_at. Refused requests count, but not those that
+        # had expired on arrival.
+        self.demand, self.demand_at = 0.0, now
+        self.unreported_units = 0.0  # queued for the next shared bucket call; negative: to be taken back
+        # Until then the counter is not asked about the shared bucket: until the full bucket has room, longer
+        # if the counter is congested, but at most until the counter entry is replaced.
+        self.shared_blocked_until = -math.inf
+        self.pool_blocked_until = -math.inf  # until then the ceiling's pool is not asked, as it was full
+        self.unreported_pool_units = 0.0  # like unreported_units, for the pool
         # A restart must not refill the ceiling, so its tokens start at zero when the gateway starts.
         self.ceiling_tokens = min(self.unpooled_ceiling_burst, self.unpooled_ceiling_rate * (now - born))
 
     def configure(self, plan: api.Plan, entries: int) -> None:
         """Applies the plan and the number of entry gateways that the current request names.
 
-        Called anew for each request that names others, so a wrong one does not affect later requests.
+        Called when a request names others than the ones in force, so the next request replaces wrong ones.
+        But the caller limits the leak rate to their range, and `drain` the ceiling's tokens to their maximum,
+        so these two return to their earlier values only with time.
         """
         self.plan, self.entries = plan, max(1, entries)
         self.min_rate = plan.rate / self.entries
+        # Corrects the demand estimated from this gateway's traffic; not applied to a wide set.
         self.traffic_skew = traffic_skew(self.entries) if self.entries < WIDE_SET_MIN_GATEWAYS else 1.0
         self.demand_time_constant = (
             WIDE_SET_DEMAND_TIME_CONSTANT_S
@@ -102,12 +118,15 @@
             (1 - share) * plan.ceiling_rate,
             (1 - share) * plan.ceiling_burst,
         )
-        # Rate and burst of the pool; the rate is 0 if there is none. The pool's fill may fall somewhat below
-        # empty before it is corrected, so its burst is lower by as much.
+        # Rate and burst of the pool; the rate is 0 if there is none. The pool's fill may be negative by
+        # UNDERFLOW_TOLERANCE of its burst before it is corrected, so the burst is lower by as much.
         self.pool_limits = share * plan.ceiling_rate, share * plan.ceiling_burst / (1 + UNDERFLOW_TOLERANCE)
 
     def can_be_dropped(self) -> bool:
-        """Whether no state is left that a new restrictor would lack: attempts, fill, spent ceiling tokens."""
+        """Whether this restrictor has no attempts outstanding, no fill that limits and no spent tokens.
+
+        Its averages, blocks and units queued for the counter are lost when it is dropped.
+        """
         is_filled = self.fill > 0 and self.plan.rate > 0  # without a rate the fill never leaks nor limits
         is_short = self.plan.ceiling_rate > 0 and self.ceiling_tokens < self.unpooled_ceiling_burst
         return not (self.open_attempts or is_filled or is_short)
@@ -125,13 +144,14 @@
     def threshold(self, units: float) -> float:
         """The most that fill and units together may be for a request to be admitted; at least its units.
 
-        It is the burst times the leak rate's share of the plan's rate, and up to the full burst if the
-        customer's demand is light. The lower the net cost of a wrong admission, the higher it is.
+        It is a part of the burst times (1 + BREAK_EVEN_COST) / (1 + net cost of a wrong admission), which may
+        be up to twice the burst. The part is the leak rate's share of the plan's rate if the customer's
+        demand is heavy, and the full burst if it is light.
         """
         cost = self.plan.net_excess_cost  # of a wrong admission; a wrong refusal costs 1, the request's worth
         plan_rate = max(self.plan.rate, 1e-9)
-        # A light customer gets the full burst at every gateway: a share of the burst holds a request or two
-        # only, and requests that come together may reach the same gateway by chance.
+        # A light customer gets the full burst at every gateway: a share of the burst holds only one or two
+        # requests, and several requests in a row may reach the same gateway by chance.
         demand_ratio = (
             self.demand
             * math.exp((self.demand_at - self.drained_at) / self.demand_time_constant)
@@ -159,7 +179,11 @@
         self.latest_reading, self.usage_at = usage, now
 
     def record_demand(self, now: float, units: float) -> None:
-        """Adds a request to the demand; called after its decision, which uses the demand without it."""
+        """Adds a request to the demand.
+
+        Called after the request has been decided on, so the decision uses the demand without it, unless the
+        decision awaits a reply of the counter.
+        """
         self.demand = (
             self.demand * math.exp((self.demand_at - now) / self.demand_time_constant)
             + units / self.demand_time_constant
@@ -175,9 +199,9 @@
         return not (self.bucket_wait(units) or self.is_locally_blocked(now))
 
     def ceiling_wait(self, units: float) -> float:
-        """Seconds until this gateway's share of the ceiling has tokens for a request; 0 if it has them."""
-        # The tokens stand for the whole unpooled ceiling, of which this gateway may use an even share. So a
-        # request takes its units once for each entry gateway.
+        """Seconds until the tokens that a request lacks have been added; 0 if none are missing."""
+        # The token bucket is as large as the unpooled ceiling, but each request takes its units times the
+        # number of entry gateways. That equals an even share for each gateway.
         missing = units * self.entries - self.ceiling_tokens
         return max(0.0, missing / self.unpooled_ceiling_rate) if self.plan.ceiling_rate else 0.0
 
@@ -194,7 +218,10 @@
         return self.plan.rate > 0 and sees_too_little
 
     def is_locally_blocked(self, now: float) -> bool:
-        """Whether the shared bucket was full lately, so that local admissions would exceed the quota."""
+        """Whether the local bucket must admit nothing.
+
+        The shared bucket was full lately, so local admissions would exceed the quota.
+        """
         return now < self.shared_blocked_until + LOCAL_BLOCK_EXTRA_S
 
     def has_soft_quota(self) -> bool:
@@ -204,7 +231,8 @@
     def at_open_limit(self) -> bool:
         """Whether the attempts outstanding here, hung ones included, reach the plan's open limit.
 
-        If the plan has no rate, the limit for this gateway is an even share of it, at least one attempt.
+        With a rate, each entry gateway applies the whole open limit; without one, an even share of it. The
+        limit is at least one attempt.
         """
         limit = self.plan.open_limit / (1 if self.plan.rate else self.entries)
         return limit > 0 and self.open_attempts >= max(1.0, limit)
@@ -227,19 +255,22 @@
         """Takes a request's tokens from this gateway's share of the ceiling; returns how many it took."""
         if not self.plan.ceiling_rate:  # maybe a wrong plan, see `drain`
             return 0.0
-        tokens = units * self.entries  # once for each entry gateway, see `ceiling_wait`
+        tokens = units * self.entries  # see `ceiling_wait`
         self.ceiling_tokens -= tokens
         return tokens
 
     def refund_ceiling(self, tokens: float, max_tokens: float) -> None:
-        """Returns tokens to this gateway's share of the ceiling, up to its maximum when they were taken."""
+        """Returns tokens to this gateway's share of the ceiling.
+
+        `max_tokens` is the most that the share could hold when the tokens were taken.
+        """
         self.ceiling_tokens = max(self.ceiling_tokens, min(max_tokens, self.ceiling_tokens + tokens))
 
     def queue_admitted(self, units: float) -> float:
         """Queues units admitted here for the next call to the shared bucket; returns how many were queued.
 
-        No more than a burst is queued in all, so that the shared bucket is not full for longer than a burst
-        takes to leak.
+        This adds nothing beyond a burst, so that the shared bucket is not full for longer than a burst takes
+        to leak. The units are negative if a response reports fewer than were estimated.
         """
         before = self.unreported_units
         self.unreported_units = min(before + units, max(before, self.plan.burst))
--- a/coralvale/shared_quota.py
+++ b/coralvale/shared_quota.py
@@ -1,19 +1,24 @@
 """Buckets on the shared counter, each one leaky bucket for all entry gateways of a customer together.
 
-A gateway that sees one of a customer's requests in many seconds cannot tell how much the customer uses. It
-asks the counter instead: one call adds the request's units to the customer's entry and returns the entry's
-total. The counter itself does not leak. The fill of the shared bucket is the total less what has leaked at
-the plan's rate since the entry came into use. The request is admitted if that fill, its own units included,
-is within the burst; otherwise another call takes the units back. Units that a local bucket has admitted are
-queued, and added with the gateway's next call.
-
-Entries are rotated: each serves a customer for a fixed time, then another takes its place, with an empty
-bucket. Units that leak but were never used make the computed fill negative. An idle customer must not save
-up more than a burst, so a fill-up call adds the missing units once the fill is too far below empty.
-
-Another entry holds the pool of a customer's ceiling. It serves those gateways that receive more of the
-customer's requests than their even share of the ceiling admits. Its bucket starts full, so that rotation does
-not refill the ceiling.
+A gateway that sees a customer's request only every many seconds cannot tell how much the customer uses. It
+asks the counter instead: one call adds the request's units to the customer's counter entry and returns the
+entry's total. The counter itself does not leak. To get the fill of the shared bucket, the gateway subtracts
+from the total what has leaked at the plan's rate since the counter entry came into use. The call also adds
+units that the local bucket has admitted and that were queued for it. The request is admitted if the fill
+before the call, plus its own and the queued units, is within the burst, or if the bucket was empty.
+Otherwise another call takes the request's own units back. A customer about whose requests the counter is
+asked is called counted; if it is asked about a part of them only, those are called sampled.
+
+Counter entries are rotated: each serves a customer for a fixed time and is then replaced by another, with an
+empty bucket. The computed leak goes on while the bucket is empty, so the computed fill can become negative.
+A customer that has been idle must not get much more than a burst, so once the fill is below a limit, a
+fill-up call raises it to 0.
+
+Another counter entry holds the pool of a customer's ceiling. It serves those gateways that receive more of
+the customer's requests than their even share of the ceiling admits. If the fill of a new entry of a pool is
+below that limit at its first call, the fill-up call fills the bucket: neither an entry that the counter has
+lost nor a late first call after a rotation may refill the ceiling. Soon after a rotation, the fill is about 0
+and is not corrected.
 """
 
 from __future__ import annotations
@@ -27,65 +32,76 @@
 from coralvale.reservation import Reservation
 from coralvale.restrictor import UNDERFLOW_TOLERANCE, Restrictor
 
-COUNTER_ENTRY_TTL_S = 60.0  # for which the counter keeps an entry; the longest that it allows
-COUNTER_ENTRY_ROTATION_S = 50.0  # for which an entry serves; the next starts empty, with a full burst to use
-ROTATION_PHASES = 97  # points in the rotation time at which entries are replaced, spread over the customers
-MIN_TIME_LEFT_IN_TIMEOUTS = 4.0  # counter timeouts that a request must have left for the counter to be asked
-LOST_REPLY_AGE_IN_TIMEOUTS = 2.0  # counter timeouts after which a reply is taken to be lost
-UNDO_FILL_UP_THRESHOLD = 0.5  # share of UNDERFLOW_TOLERANCE; fill-ups of a smaller underflow are undone
+COUNTER_ENTRY_TTL_S = 60.0  # time for which the counter keeps an entry; the longest that it allows
+# Time for which a counter entry serves. The next starts empty, with a full burst to use, but a pool may be
+# filled up then, see `SharedQuota._correct_underflow`.
+COUNTER_ENTRY_ROTATION_S = 50.0
+ROTATION_PHASES = 97  # points in the rotation time over which the replacements of entries are spread
+# In counter timeouts: the time that a request must have left for the counter to be asked, and the age of a
+# call after which its reply is taken to be lost.
+MIN_TIME_LEFT_IN_TIMEOUTS = 4.0
+LOST_REPLY_AGE_IN_TIMEOUTS = 2.0
+# A fill-up is undone if the underflow that it met was below this share of UNDERFLOW_TOLERANCE.
+UNDO_FILL_UP_THRESHOLD = 0.5
 INITIAL_COVERAGE = 0.75  # below 1, as all gateways may start at once
-COVERAGE_ALL_CUSTOMERS = 1.0  # coverage from which on all customers are counted
-COVERAGE_ALL_REQUESTS = 2.0  # the highest coverage: small requests are no longer sampled, all are asked about
-TARGET_CONGESTION = 0.25  # at which the coverage is kept; above 0, as a well used counter has a short queue
-# By which the logarithm of the coverage changes in a second, for each unit of congestion off the target. It
-# rises faster than it falls, so that a counter that was lost is soon used again.
+COVERAGE_ALL_CUSTOMERS = 1.0  # coverage at which all customers of at least the mean price are counted
+COVERAGE_ALL_REQUESTS = 2.0  # the highest coverage: the counter is asked about every small request, too
+# Congestion at which the coverage stays as it is; above 0, as a well used counter has a short queue.
+TARGET_CONGESTION = 0.25
+# Change of the coverage's logarithm in a second, for each unit of congestion off the target. The coverage
+# rises faster than it falls, so that a counter that did not answer is soon used again.
 COVERAGE_DECREASE_RATE = 1.0
 COVERAGE_INCREASE_RATE = 4.0
-CONGESTION_EWMA_WEIGHT = 0.1  # of the newest call; with more, the gateways' estimates would differ widely
-CONGESTION_TIME_CONSTANT_S = 5.0  # with which congestion decays while no calls are made
-BACKOFF_FACTOR = 0.25  # share of the time in which an even share of the quota leaks the refused units
-MIN_COVERAGE = 0.05  # kept under any congestion, to notice when the counter has capacity again
-POOL_KEY_OFFSET = 1 << 33  # from a customer's number to the key of its pool; above all customers' numbers
-# Multiples of it, modulo 1, spread the customers' numbers evenly over 0 to 1.
+# Weight of the newest call; if it were higher, the gateways' estimates would differ widely.
+CONGESTION_EWMA_WEIGHT = 0.1
+# Time constant of the congestion's decay, by which it is forgotten if no calls are made.
+CONGESTION_TIME_CONSTANT_S = 5.0
+BACKOFF_FACTOR = 0.25  # share of the time in which an even share of the leak rate leaks a refused request
+MIN_COVERAGE = 0.05  # lowest coverage under any congestion, to notice when the counter has capacity again
+POOL_KEY_OFFSET = 1 << 33  # added to a customer's number for the key of its pool; above all such numbers
+# Customer numbers times this, modulo 1, are spread evenly over 0 to 1.
 GOLDEN_RATIO_CONJUGATE = (math.sqrt(5) - 1) / 2
-MEAN_PRICE_EWMA_WEIGHT = 0.05  # of the newest request in the mean price of plans
+MEAN_PRICE_EWMA_WEIGHT = 0.05  # weight of the newest request in the mean price
 MIN_DELAY_DRIFT_PER_S = 0.01  # share by which the lowest delay seen is raised, as the counter may have moved
-MAX_CALL_UNITS = 1e9  # that one call may add or take back; the counter rejects more
-NEW_ENTRY_TOLERANCE = 1e-6  # share of a call's amount by which the total of a new entry may exceed it
+MAX_CALL_UNITS = 1e9  # the most that one call may add or take back; the counter rejects more
+NEW_ENTRY_TOLERANCE = 1e-6  # a new counter entry's total exceeds a call's amount by at most this share of it
 Calls = list[api.Action]  # calls to the counter, to be made in this order
 
 
 @dataclass(slots=True)
 class SharedBucket:
-    """A leaky bucket in one entry of the counter."""
+    """A leaky bucket kept in one counter entry."""
 
-    name: int  # of the entry
-    started_at: float  # when the entry came into use, the same for all gateways
+    name: int  # of the counter entry
+    started_at: float  # when the counter entry came into use, the same for all gateways
     rate: float  # leak rate in units a second
     burst: float  # units
-    is_pool: bool = False  # the pool of a ceiling: starts full, and again if the counter has lost the entry
+    is_pool: bool = False  # whether it is the pool of a ceiling
 
     @property
     def expires_at(self) -> float:
-        """When another entry takes its place and its total no longer counts."""
+        """When another counter entry replaces this one, whose total is then no longer used."""
         return self.started_at + COUNTER_ENTRY_ROTATION_S
 
     def fill_before(self, now: float, total: float, amount: float) -> float:
-        """The fill before a call added its amount; negative if some of the leaked units were never used."""
+        """The fill before a call added its amount; negative if less was used than could have leaked."""
         return total - amount - self.rate * (now - self.started_at)
 
 
 @dataclass(slots=True)
 class PendingCall:
-    """A call to the counter that awaits its reply. Without a reservation it fills up or takes back units."""
+    """A call to the counter that awaits its reply.
+
+    If it has no reservation, it corrects the bucket: a fill-up, or units taken back.
+    """
 
     sent_at: float
     bucket: SharedBucket
     amount: float  # units to add: of the request, extrapolated ones, and those queued for this call
     restrictor: Restrictor
     reservation: Reservation | None = None
-    extrapolated_units: float = 0.0  # of the requests like this one that the sampling leaves out
-    is_fill_up: bool = False  # raises a negative fill, see `SharedQuota._correct_underflow`
+    extrapolated_units: float = 0.0  # estimate for the similar requests that the counter is not asked about
+    is_fill_up: bool = False  # whether it raises a fill that is too low, see `SharedQuota._correct_underflow`
 
     @property
     def request(self) -> api.Request | None:
@@ -100,7 +116,7 @@
 
 
 def _clamp_amount(amount: float) -> float:
-    """The part of an amount that one call may carry."""
+    """The amount, limited to what one call may carry."""
     return max(-MAX_CALL_UNITS, min(MAX_CALL_UNITS, amount))
 
 
@@ -108,24 +124,29 @@
     """This gateway's calls to the counter: which to make, what their totals mean, how congested it is.
 
     The coverage says how much of the traffic the counter is asked about. Up to COVERAGE_ALL_CUSTOMERS it is
-    the share of customers that are counted: their shared buckets decide on their requests. From there up to
-    COVERAGE_ALL_REQUESTS all customers are counted, and a growing share of their small requests is sampled.
-    The coverage falls while the counter is congested, and rises again otherwise.
+    about the share of customers that are counted (more of those with a high price, fewer of those with a low
+    one). Of their requests, the counter is asked about most large ones and a few small ones; the local bucket
+    decides on the others. Above that, the counter is asked about a growing share of the small requests, up to
+    all of them at COVERAGE_ALL_REQUESTS. The coverage falls while the congestion is above its target, and
+    rises while it is below.
     """
 
     def __init__(self, settings: api.Settings, rng: random.Random) -> None:
         self.settings, self.random = settings, rng
-        self.pending: dict[int, deque[PendingCall]] = {}  # by name of the entry, in the order of the replies
+        self.pending: dict[int, deque[PendingCall]] = {}  # by counter entry name, in the order of replies
         self.waiting: dict[str, Reservation] = {}  # by request id: those that a reply will decide on
         self.coverage, self.updated_at = INITIAL_COVERAGE, -math.inf
         self.congestion = 0.0  # mean delay of calls, from 0 for the lowest delay seen to 1 for the timeout
-        self.min_delay = math.inf  # s, the lowest seen, taken for that of an idle counter
-        self.mean_price = 0.0  # of the plans of requests that the counter may be asked about
+        self.min_delay = math.inf  # s, the lowest seen, assumed to be that of an idle counter
+        self.mean_price = 0.0  # of the plans of the requests that `should_count` was called for
 
     # Calls
 
     def should_count(self, now: float, request: api.Request, restrictor: Restrictor) -> bool:
-        """Whether the request's customer is counted and there is time for a reply. Updates the coverage."""
+        """Whether the request's customer is counted and there is time for a reply.
+
+        Also updates the coverage, the congestion, the lowest delay and the mean price.
+        """
         timeout, elapsed = self.settings.counter_timeout, min(1.0, now - self.updated_at)
         elapsed = 0.0 if self.updated_at == -math.inf else elapsed
         self.updated_at = now
@@ -134,12 +155,13 @@
         )
         self.coverage *= math.exp(adjustment_rate * elapsed * (TARGET_CONGESTION - self.congestion))
         self.coverage = max(MIN_COVERAGE, min(COVERAGE_ALL_REQUESTS, self.coverage))
-        self.congestion *= math.exp(-elapsed / CONGESTION_TIME_CONSTANT_S)  # without calls none is seen
+        self.congestion *= math.exp(-elapsed / CONGESTION_TIME_CONSTANT_S)  # forgotten if no calls are made
         self.min_delay *= 1 + MIN_DELAY_DRIFT_PER_S * elapsed
         price = restrictor.plan.price
         self.mean_price += MEAN_PRICE_EWMA_WEIGHT * (price - self.mean_price) if self.mean_price else price
-        # If not all customers can be counted, all gateways choose the same ones: a shared bucket that is told
-        # of a part of the use only is no better than none. Those with higher prices are more likely chosen.
+        # If not all customers can be counted, the gateways choose nearly the same ones (their coverages and
+        # mean prices differ): a shared bucket that misses some of the use is useless. Customers with a higher
+        # price are more likely to be chosen.
         in_time = request.expires_at - now > MIN_TIME_LEFT_IN_TIMEOUTS * timeout
         return (
             in_time
@@ -149,8 +171,8 @@
     def sampling_probability(self, units: float) -> float:
         """Probability that the counter is asked about a request; the larger the request, the higher it is.
 
-        Most requests are small and most units are in large ones, so sampling the small ones saves most calls
-        and misses few units.
+        Most requests are small and most units are in large ones, so asking about few of the small ones saves
+        most calls and misses few units. Without a maximum of units, the counter is asked about every request.
         """
         share = min(1.0, units / self.settings.max_units) if self.settings.max_units < math.inf else 1.0
         return min(
@@ -164,15 +186,17 @@
     def quota_call(self, now: float, reservation: Reservation) -> Calls:
         """The call whose reply decides on a counted customer's request; none if sampling leaves it out."""
         request, restrictor = reservation.request, reservation.restrictor
-        # If it is left out, sampled requests report its units, on average, as their extrapolated units.
+        # Set even if the request is left out: the calls of similar requests then add its units, on average,
+        # as extrapolated units.
         reservation.shared_units = request.units
         probability = self.sampling_probability(request.units)
         if probability < 1 and self.random.random() >= probability:
             return []
         plan, (name, started_at) = restrictor.plan, self._current_counter_entry(now, request.customer)
         bucket = SharedBucket(name, started_at, plan.rate, plan.burst)
-        # Local buckets decide on the requests that are left out. So units are extrapolated only while the
-        # local bucket admits requests; units that nobody uses would keep the shared bucket full.
+        # A sampled request represents similar ones that are left out, on which the local bucket decides.
+        # Their units are extrapolated only while the local bucket admits requests; units that nobody uses
+        # would keep the shared bucket full.
         represented_requests = 1 / probability - 1 if restrictor.would_admit(now, request.units) else 0.0
         extrapolated_units = request.units * represented_requests
         amount = self._call_amount(request.units + extrapolated_units, restrictor, is_pool=False)
@@ -193,7 +217,10 @@
         return [self._enqueue(PendingCall(now, bucket, amount, restrictor, reservation))]
 
     def _current_counter_entry(self, now: float, key: int) -> tuple[int, float]:
-        """Name of the counter's entry that serves a key now, and when it came into use."""
+        """Name of the counter entry that serves a key now, and when it came into use.
+
+        The name has the number of the rotation in its lower 24 bits and the key above them.
+        """
         rotation = now / COUNTER_ENTRY_ROTATION_S + key % ROTATION_PHASES / ROTATION_PHASES
         return key << 24 | int(rotation) & 0xFFFFFF, now - rotation % 1 * COUNTER_ENTRY_ROTATION_S
 
@@ -224,7 +251,8 @@
         self._requeue_failed_call(event, call)
         congestion, timeout = 1.0, max(self.settings.counter_timeout, 1e-3)
         if event.ok:
-            # Delays rise before a congested counter fails; once calls fail, they only add to the congestion.
+            # A failed call counts as full congestion, a successful one by its delay: delays rise before calls
+            # fail.
             delay = min(now - call.sent_at, timeout)
             self.min_delay = min(self.min_delay, delay)
             congestion = (delay - self.min_delay) / max(timeout - self.min_delay, 1e-3)
@@ -233,10 +261,12 @@
 
     @staticmethod
     def _requeue_failed_call(event: api.CounterReply, call: PendingCall) -> None:
-        """Queues the units of a call that was certainly not added; one that may have been counts as added.
+        """Queues what a call that was certainly not added carried; one that may have been counts as added.
 
-        A pool with too many units refuses too much; with too few, the ceiling would be exceeded. So units
-        that may not have been added to a pool are not taken back from it.
+        The units of the call's request are left out, unless it was released, and a fill-up queues nothing.
+        A pool with too many units refuses too much; with too few, the ceiling would be exceeded. So if a call
+        to a pool may not have been added, the request's units are not taken back from it: if `release` has
+        queued their removal, the same units are queued to cancel it.
         """
         is_pool, reservation = call.bucket.is_pool, call.reservation
         if not event.ok and not event.maybe_added:
@@ -255,7 +285,9 @@
         fill, calls = self._correct_underflow(now, event, call)
         bucket, amount = call.bucket, call.amount - call.extrapolated_units
         wait = max(0.0, max(0.0, fill) + amount - max(bucket.burst, amount)) / bucket.rate
-        if wait:  # refused, so its units are taken back
+        # A refused request's units are taken back. The extrapolated ones stay, as the local bucket admits the
+        # requests that they stand for.
+        if wait:
             units = call.reservation.request.units
             calls.append(self._enqueue(PendingCall(now, bucket, -units, call.restrictor)))
             call.reservation.clear_counter_units(bucket.is_pool)
@@ -264,8 +296,8 @@
     def backoff(self, call: PendingCall) -> float:
         """Seconds for which a congested counter is not asked about a customer whose shared bucket was full.
 
-        As all entry gateways ask, each need not ask as often as the bucket leaks a request. The time is no
-        longer than a full bucket takes to drain, after which nothing is known of its fill.
+        All entry gateways ask, so each may ask less often than once in the time the bucket leaks a request.
+        The time is no longer than a full bucket takes to drain, after which its fill is unknown.
         """
         assert call.request
         congestion_ratio = min(1.0, self.congestion / TARGET_CONGESTION)
@@ -287,12 +319,12 @@
     def _correct_underflow(
         self, now: float, event: api.CounterReply, call: PendingCall
     ) -> tuple[float, Calls]:
-        """The fill before a call, corrected if it is too far below empty; and the fill-up call to do so."""
+        """The fill before a call, corrected if it is too low; and the fill-up call that corrects it."""
         bucket = call.bucket
         fill = bucket.fill_before(now, event.total, call.amount)
         if fill >= -UNDERFLOW_TOLERANCE * bucket.burst:
             return fill, []
-        # A pool starts full: a new entry, or one that the counter has lost, must not refill the ceiling.
+        # A pool's entry that is new, or was lost by the counter, is filled: it must not refill the ceiling.
         is_new = event.total - call.amount <= NEW_ENTRY_TOLERANCE * abs(call.amount)
         target_fill = bucket.burst if bucket.is_pool and is_new else 0.0
         amount = _clamp_amount(target_fill - fill)
@@ -306,7 +338,7 @@
             reservation.release()
 
     def overdue_calls(self, now: float) -> list[int]:
-        """Entry names of the calls whose reply is taken to be lost, one for each call."""
+        """Counter entry names of the calls whose reply is taken to be lost, one for each call."""
         max_age = LOST_REPLY_AGE_IN_TIMEOUTS * self.settings.counter_timeout
         return [
             name for name, calls in self.pending.items() for call in calls if now - call.sent_at > max_age
