--- a/coralvale/interface.py
+++ b/coralvale/interface.py
@@ -245,7 +245,7 @@
     request: str
     attempt: int
     outcome: Outcome
-    delay: float  # s since the attempt was sent
+    delay: float  # s since the attempt was ordered, with any wait for a connection
     request_done: bool  # no further attempt is needed: the client is answered or gone
     usage: float | None = None  # metered use of the customer as a fraction of its rate
     units: float | None = None  # true quota units of the request
@@ -273,7 +273,7 @@
 
     host: str  # id
     outcome: Outcome
-    delay: float  # s since the probe was started
+    delay: float  # s since the probe was ordered, with any wait for a connection
     load_report: tuple[float, ...] = ()  # as in `AttemptDone`
 
 
--- a/coralvale/net/counter.py
+++ b/coralvale/net/counter.py
@@ -18,7 +18,7 @@
 from coralvale.net.config import Address
 
 MAX_CONNECTIONS = 2  # all calls for one entry go over the same connection, so that their replies are in order
-IDLE_TIMEOUT_S = 4.0  # until an idle connection is closed; the counter closes it after up to 10 s
+IDLE_TIMEOUT_S = 4.0  # until an idle connection is closed here; the counter keeps one open for up to 10 s
 MAX_LIFETIME_MS = 60_000  # of an entry on the counter
 MAX_BODY_BYTES = 64  # of a response; a total is shorter
 MAX_RESPONSE_BYTES = 4096  # received without a complete response: an endless head would fill the memory
@@ -61,7 +61,10 @@
         self.connect_tasks: set[asyncio.Task[None]] = set()
 
     def add(self, name: int, amount: float, lifetime: float) -> None:
-        """Adds an amount to an entry, which the counter keeps for `lifetime` seconds."""
+        """Adds an amount to an entry.
+
+        The counter keeps the entry for `lifetime` seconds, at most 60, from its first addition.
+        """
         lifetime_ms = min(MAX_LIFETIME_MS, max(1, round(lifetime * 1000)))
         host, port = self.address
         head = f"POST /tally/{name}?n={amount:.6f}&keep_ms={lifetime_ms} HTTP/1.1\r\nHost: {host}:{port}\r\n"
@@ -76,7 +79,10 @@
         connection.add(call)
 
     def close(self) -> None:
-        """Closes all connections at once; calls that are not answered yet fail."""
+        """Closes all connections immediately; unanswered calls fail.
+
+        Calls on a connection that is still being opened fail only at their timeout.
+        """
         for task in self.connect_tasks:
             task.cancel()
         for connection in self.connections:
--- a/coralvale/net/discovery.py
+++ b/coralvale/net/discovery.py
@@ -20,7 +20,7 @@
 log = logging.getLogger(__name__)
 
 MAX_SILENCE_S = 3.5  # without a line on a watch before it counts as dead; one is due every 2 s
-RESPONSE_TIMEOUT_S = 1.5  # for the response head of an agent that answers each call at once
+RESPONSE_TIMEOUT_S = 1.5  # for the response head of an agent that answers each call immediately
 MAX_QUEUE_WAIT_S = 2.0  # in discovery's queue, after which discovery fails the call
 QUEUED_RESPONSE_TIMEOUT_S = 2.5  # longer, as an abandoned call would still take its turn in the queue
 CALL_SPACING_S = 0.16  # between the gateways' calls, so that discovery's queue stays short
@@ -62,10 +62,10 @@
 
 
 class Discovery:
-    """Follows the host list of the agent, which is the discovery endpoint that this gateway calls.
+    """Follows the host list of the discovery agent that this gateway calls.
 
-    `on_change(kind, hosts, retired)` gets the hosts named in a message, and those hosts, as listed before it,
-    whose idle connections are to be closed.
+    In `on_change(kind, hosts, retired)`, `hosts` are those named in a message; `retired` are the previous
+    instances whose idle connections must close, also those of hosts that a full list no longer names.
     """
 
     def __init__(
@@ -80,11 +80,13 @@
         max_propagation_delay: float = math.inf,
     ) -> None:
         """`queued_callers`: how many gateways share a discovery that serves their calls one by one from a
-        queue; 0 if each call is answered at once.
+        queue; 0 if each call is answered immediately.
+
+        A change counts as known from when this gateway is expected to act on it.
 
         `drain_grace`: s from when a drain counts as known to when sending to the host must have ended. A
-        drain that the agent learns of on its return counts as known at once, so a call that has just failed
-        must be repeated and answered well within this time.
+        drain that the agent learns of on its return counts as known immediately, so a call that has just
+        failed must be repeated and answered well within this time.
 
         `max_propagation_delay`: s after which every change counts as known, from when discovery is reachable
         again or a watch has fallen silent. However many calls have failed, the next response must come by
@@ -129,7 +131,7 @@
     def apply(self, message: dict[str, Any], cached: bool = False) -> None:
         """Merges one message into the list.
 
-        An invalid entry is logged and left out; but in a full list, the host stays as it was listed before.
+        An invalid entry is logged and ignored: a host that it names stays as it was listed before.
         """
         entries, index = message.get("endpoints", []), message.get("index")
         if not isinstance(entries, list):
@@ -235,8 +237,8 @@
     def _retry_delay(self, now: float) -> float:
         """The delay before the next call, jittered so that gateways that lost discovery together spread out.
 
-        However often calls have failed, it leaves time to connect and get a response before changes since the
-        last of them count as known.
+        However often calls have failed, it leaves time to connect and get a response before this gateway is
+        expected to know the changes made since the last failed call began.
         """
         remaining = (
             self.stale_since
@@ -373,7 +375,10 @@
             self.owner.index = None
 
     def _reject(self, text: str, error: Exception) -> None:
-        """Logs an invalid message; others are still read, and the next watch asks for the full list."""
+        """Logs an invalid message, after which the next watch asks for the full list.
+
+        The other messages received with it are still read, then this watch closes.
+        """
         log.warning("discovery: cannot use message %.200r: %r", text, error)
         self.malformed = True
         self.owner.index = None
--- a/coralvale/net/node.py
+++ b/coralvale/net/node.py
@@ -29,19 +29,22 @@
 log = logging.getLogger(__name__)
 
 READY_TIMEOUT_S = 0.25  # from start to ready on the configured host list, if discovery does not respond
-FIRST_MESSAGE_WAIT_S = 0.01  # from discovery's response head to ready; only changes bring a message
+# From discovery's response head to ready, to apply a first message: the full list if the call had no index,
+# else the changes, if there are any.
+FIRST_MESSAGE_WAIT_S = 0.01
 RESPONSE_MARGIN_S = 0.05  # before the client's timeout, reserved for writing the response
-MAX_PROPAGATION_DELAY_S = 6.0  # after which a change counts as known, see `Discovery`
+MAX_PROPAGATION_DELAY_S = 6.0  # within which this gateway is expected to act on a change, see `Discovery`
 ACCEPT_AFTER_SIGTERM_S = 0.45  # new connections keep arriving for 0.2 to 0.4 s after SIGTERM
 RECONNECT_GRACE_S = 0.25  # for clients that sent a request while their idle connection was being closed
-# From SIGTERM to the earliest SIGKILL: the longest class timeout, up to this maximum, plus the delay.
+# SIGKILL comes, at the earliest, min(longest class timeout, MAX_TIMEOUT_BEFORE_KILL_S) + KILL_DELAY_S after
+# SIGTERM.
 MAX_TIMEOUT_BEFORE_KILL_S = 3.0
 KILL_DELAY_S = 0.7
 KILL_MARGIN_S = 0.35  # left unused before the earliest SIGKILL, as the event loop may be late
 FLUSH_S = 0.1  # for the last responses to be sent
 DRAIN_POLL_S = 0.05  # between checks whether the drain is complete
-MAX_EXTRA_POLLS = 4  # after FLUSH_S while responses are owed; both together stay within KILL_MARGIN_S
-TIMER_RESOLUTION_S = 0.001  # of the event loop
+MAX_EXTRA_POLLS = 4  # after FLUSH_S, if responses are not yet sent; both together stay within KILL_MARGIN_S
+TIMER_RESOLUTION_S = 0.001  # of the event loop's timers, which count whole milliseconds
 DEFAULT_TIMER_DELAY_S = 1.0  # for setting a timer again whose delay is not known
 RESERVED_DESCRIPTORS = 64  # for the listener, discovery, the counter, log files and the event loop
 NOT_RUN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)  # the host has not run the request
@@ -81,7 +84,7 @@
 
 
 class Node:
-    """One gateway: the decision module with its clients, its hosts, discovery and the counter."""
+    """One gateway: its decision module (`gateway`) with the clients, hosts, discovery and the counter."""
 
     def __init__(self, config: Config, clock: Clock | None = None) -> None:
         self.config, self.settings = config, config.settings
@@ -99,7 +102,7 @@
         self.timer_delays: dict[int, float] = {}
         sockets = descriptor_limit(config.sockets)
         share = (sockets - min(RESERVED_DESCRIPTORS, sockets // 4)) // 2  # for clients and for hosts each
-        overflow = share // 8  # client connections that only get a 503
+        overflow = share // 8  # client connections on which /api only gets a 503
         self.server = Server(config.listen, config.settings, self, share - overflow, overflow)
         self.upstreams = Upstreams(
             self.clock, config.connect_timeout, config.conn_idle, share, config.settings.load_report_fields
@@ -141,7 +144,7 @@
         self.ready = self.drain_deadline is None
 
     def reload(self, config: Config) -> None:
-        """Takes over new addresses of discovery and the counter; open connections and requests go on.
+        """Applies new addresses of discovery and the counter; open connections and requests go on.
 
         Nothing else is reloaded: limits and settings stay as they were at start.
         """
@@ -163,7 +166,7 @@
         )
 
     def close(self) -> None:
-        """Closes all sockets at once."""
+        """Closes all sockets immediately."""
         self.discovery_task.cancel()
         self.server.close()
         self.upstreams.close()
@@ -270,7 +273,7 @@
                 units=request.units,
             )
         )
-        if not pending.answered:  # under load most requests are refused at once and need no timer
+        if not pending.answered:  # under load most requests are refused immediately and need no timer
             pending.timer = self.loop.call_later(max(0.0, expires_at - now), self._expire, pending)
 
     def client_disconnected(self, exchange: Exchange) -> None:
@@ -281,8 +284,11 @@
             self._remove_if_done(pending)
 
     def _expire(self, pending: PendingRequest) -> None:
-        """Ends the attempts of an expired request as timed out; answers it if nothing else has."""
-        # A drain may end before `expires_at`; nothing may be sent after it.
+        """Ends the attempts of an expired request and answers it if nothing else has.
+
+        Attempts written in full end as timed out, others as not sent.
+        """
+        # A drain may end before `expires_at`; no attempt of the request may be sent from now on.
         pending.expires_at = min(pending.expires_at, self.clock.now())
         for attempt in list(pending.attempts):
             if not attempt.ended:
@@ -356,7 +362,7 @@
     def _attempt_done(
         self, pending: PendingRequest, attempt: Attempt, outcome: Outcome, response: Response | None
     ) -> None:
-        """Called once when an attempt ends; the first OK response goes to the client at once."""
+        """Called once when an attempt ends; the first OK response goes to the client immediately."""
         pending.outstanding -= 1
         pending.may_have_run = pending.may_have_run or outcome not in NOT_RUN
         pending.last_timed_out = outcome is Outcome.TIMEOUT
@@ -461,7 +467,7 @@
             self.loop.call_later(DRAIN_POLL_S, self._stop_accepting)
 
     def _close_idle(self) -> None:
-        """Closes idle connections, again and again until the node stops; unread requests are served first."""
+        """Closes idle connections, repeatedly until the node stops; unread requests are served first."""
         self.server.close_idle_connections()
         self._stop_if_drained()
         if not self.stopped.done():
@@ -478,7 +484,7 @@
         self.loop.call_later(FLUSH_S, self._stop_when_answered, MAX_EXTRA_POLLS)
 
     def _stop_when_answered(self, polls: int) -> None:
-        """Stops, after some more polls if responses are still owed.
+        """Stops, after some more polls if responses are not yet sent.
 
         A late event loop runs its overdue timers before it reads from its sockets, so FLUSH_S may have passed
         before requests that the kernel holds are read and answered.
--- a/coralvale/net/server.py
+++ b/coralvale/net/server.py
@@ -168,13 +168,14 @@
             raise BadRequest("cookie: the client is too large a number")
         self.timeout = parse_positive("x-timeout", required(b"x-timeout"))
         quota = dict(KEY_VALUE.findall(required(b"quota-info")))
-        # Units fill the customer's bucket, ceiling and counter window: clients must not choose them freely.
+        # Units fill the customer's bucket, ceiling and counter entries: clients must not choose them freely.
         self.units = parse_positive("quota-info units", quota.get(b"units", b""))
         if not 1 <= self.units <= settings.max_units:
             raise BadRequest(f"quota-info units: not from 1 to {settings.max_units:g}")
         self.entry_gateways = parse_integer(
             "quota-info spread", quota.get(b"spread", b""), 1, settings.gateways
         )
+        # Only validated: the gateway does not use the number.
         self.first_gateway = parse_integer(
             "quota-info first", quota.get(b"first", b""), 0, settings.gateways - 1
         )
@@ -224,8 +225,8 @@
         self.last_active_at = self.opened_at = time.monotonic()
         self.request_started_at = 0.0
         self.has_sent_request = False  # whether a request has been received in full
-        # parsed_bytes: of the headers, then of the body, of the incoming request, as parsed;
-        # head_bytes: received while not in a body, parsed or not.
+        # parsed_bytes: size of the incoming request's header names and values parsed so far, or of its body;
+        # head_bytes: bytes received since the last complete request while not in a body, parsed or not.
         self.parsed_bytes = self.head_bytes = 0
         self.in_body = False
         self.error_status = 0  # status of the error response that ends this connection
@@ -289,7 +290,7 @@
             self.server.idle_connections[self] = None
 
     def time_out_request(self) -> None:
-        """Answers 408 to a request that has not arrived in full; only if no earlier response is due."""
+        """Answers 408 to a request not fully received; the caller checks that no earlier response is due."""
         self.error_status = 408
         self.incoming = None
         self._reply_error()
@@ -684,7 +685,11 @@
                 connection.close_if_idle()
 
     def has_pending_responses(self) -> bool:
-        """Whether a request that has arrived, read or not, is still without its response."""
+        """Whether any connection may still have a response to send.
+
+        That is so if a request is unanswered or may be unread, a response is not written in full, or an
+        accepted connection is not yet attached to the loop.
+        """
         return any(connection.has_pending_response() for connection in self.connections)
 
     def close(self) -> None:
--- a/coralvale/net/upstream.py
+++ b/coralvale/net/upstream.py
@@ -31,8 +31,8 @@
 MAX_USAGE, MAX_LOAD = 1000.0, 1e6  # reported figures above these are ignored
 IDLE_TIMEOUT_SHARE = 0.8  # of the hosts' idle timeout, after which this side closes an idle connection
 IDLE_TIME_BUCKETS = 36  # their lower bounds go from 1 ms up, each the square root of two times the one before
-CONNECT_COST = 0.2  # of a new connection, as a share of what a request costs that is lost by reuse
-LOSS_THRESHOLD = 0.5  # lost requests above which reuse is given up: one break alone is enough
+CONNECT_COST = 0.2  # of opening a connection, where losing a request by reuse costs 1
+LOSS_THRESHOLD = 0.5  # losses above which the idle limit is lowered: one break, 1 - CONNECT_COST, is enough
 LOSS_HALF_LIFE_S = 10.0  # in which recorded losses halve
 SWEEP_INTERVAL_S = 1.0  # between checks for connections that have been idle for too long
 
@@ -68,7 +68,7 @@
     build_payload: Callable[[], bytes | None]  # called just before the write; None: do not send
     on_end: Callable[[Attempt, Outcome, Response | None], None]
     index: int = 0  # among the attempts of its request
-    sent_at: float = 0.0  # when it was ordered
+    sent_at: float = 0.0  # when it was ordered, before any wait for a connection; not set for probes
     host_started_at: float = 0.0  # tells a restarted host from its predecessor
     timer: asyncio.TimerHandle | None = None
     connection: HostConnection | None = field(default=None, repr=False)
@@ -88,13 +88,17 @@
 
 
 class HostConnection(asyncio.Protocol):
-    """One connection to a host. It is reused only after a complete response to a fully sent request."""
+    """One connection to a host.
+
+    It returns to its pool unused, or after a complete response to a request that was sent in full.
+    """
 
     def __init__(self, pool: Pool) -> None:
         self.pool = pool
         self.attempt: Attempt | None = None
         self.transport: asyncio.Transport | None = None
-        self.idle_since = self.idle_time = 0.0  # idle_time: s idle before the latest request
+        # idle_time: s idle before the latest request, valid only if `has_been_idle`
+        self.idle_since = self.idle_time = 0.0
         self.has_been_idle = False  # whether it has been idle in the pool
         self.write_pending = self.response_complete = self.keep_alive = False
         self._reset_response()
@@ -138,7 +142,7 @@
         self.attempt, attempt.connection = attempt, self
         self.idle_time = self.pool.upstreams.clock.now() - self.idle_since
         self.transport.write(payload)
-        if self.transport.is_closing():  # the write failed at once, so nothing was sent
+        if self.transport.is_closing():  # the write failed immediately, so nothing was sent
             self._mark_broken(attempt)
             self._finish(Outcome.CONNECT_FAILED)
 
@@ -200,7 +204,7 @@
         else:
             self.response_complete = True
             self.status = self.parser.get_status_code()
-            # Read here because past the message the parser returns False for every connection.
+            # Read now: once the message is over, the parser always returns False.
             self.keep_alive = self.parser.should_keep_alive()
 
     def _complete_response(self) -> None:
@@ -227,7 +231,8 @@
             outcome = Outcome.FULL
         else:
             outcome = Outcome.ERROR
-        # If the response came before the request was written in full, the connection is in the middle of it.
+        # If the response came before the request was written in full, the rest of the request is still to be
+        # written: the connection cannot be reused.
         keep = self.keep_alive and not self.write_pending
         self._finish(outcome, response, keep)
 
@@ -266,10 +271,11 @@
     """How long a connection may be idle and still be reused, learned from how often reuse breaks.
 
     Hosts, and devices on the way to them, may close idle connections earlier than announced, in ways that are
-    not seen before the next request is written. An idle time is given up only if the requests lost by reuse
-    cost more than new connections would. A low rate of breaks at all idle times does not lower the limit, as
-    new connections would break as well. All hosts share the limit, since each is seen too seldom to have its
-    own: one that closes earlier than the others goes unnoticed, or costs all of them new connections.
+    not seen before the next request is written. The limit is lowered only if the requests lost by reuse after
+    longer idle times cost more than new connections would. A low rate of breaks at all idle times does not
+    lower the limit, as new connections would break as well. All hosts share the limit, since each has too few
+    samples for its own: one that closes earlier than the others goes unnoticed, or costs all of them new
+    connections.
     """
 
     def __init__(self, maximum: float) -> None:
@@ -488,7 +494,10 @@
 
 
 def parse_usage(value: bytes) -> float | None:
-    """`Usage-Percent`: the customer's metered use itself (the simulator's wire sends one more than that)."""
+    """`Usage-Percent`: the customer's metered use in percent of its rate; returned as a fraction.
+
+    The simulator's protocol sends that percentage plus one instead, see `adapter.py`.
+    """
     if not NUMBER.fullmatch(value):
         return None
     usage = float(value) / 100
