--- a/coralvale/admission.py
+++ b/coralvale/admission.py
@@ -19,7 +19,8 @@
 from coralvale.shared_quota import Calls, PendingCall, SharedQuota, has_total
 from coralvale.state import Admitted, Decision, Pending, Reason, Refused
 
-# Factor on the net cost of a request beyond the quota; above 1, as the total of such costs is limited too.
+# Factor on the net cost of a request beyond the quota. It is above 1 because operators also limit the total
+# cost of such requests over all gateways, which nothing in this code checks.
 EXCESS_COST_FACTOR = 2.0
 SIZE_PENALTY_EXPONENT = 3.0  # how steeply the admission probability falls with a request's size
 MEAN_UNITS_EWMA_WEIGHT = 0.02  # weight of the newest request in the mean units of its plan
@@ -61,7 +62,11 @@
             restrictor.drain(now)
 
     def decide(self, now: float, request: api.Request, restrictor: Restrictor) -> Decision:
-        """Decides on a new request by the local bucket, or returns the call that asks the shared one."""
+        """Decides on a new request by the local bucket, or returns the call that asks the shared one.
+
+        If the customer is undersampled and its shared bucket was full lately, the request is refused without
+        a call until `shared_blocked_until`, provided that the counter may be used and the quota is not soft.
+        """
         reservation = Reservation(request, restrictor)
         may_count = self.settings.may_count and not restrictor.has_soft_quota()
         if not may_count or not restrictor.is_undersampled(request.units, self.settings.meter_period > 0):
@@ -75,7 +80,13 @@
         return self._decide_locally(now, reservation, is_represented=True)
 
     def handle_reply(self, now: float, event: api.CounterReply) -> Decision | None:
-        """Decides by the total in a reply; if it has none, by the local bucket. None if no call awaits it."""
+        """Decides on the request that awaits a reply of the counter; None if no call awaits the reply.
+
+        The total in the reply decides. Without one, the local bucket decides if the shared bucket was asked,
+        and the request is refused if the ceiling's pool was. If no request awaits the reply (the call only
+        corrected a bucket, or the client has left), the result is a `Pending`. Its only possible action takes
+        back a fill-up that another gateway had made already, see `SharedQuota.undo_fill_up`.
+        """
         if (call := self.shared_quota.match_reply(now, event)) is None:
             return None
         reservation, request, restrictor = call.reservation, call.request, call.restrictor
@@ -137,8 +148,8 @@
     def _decide_locally(self, now: float, reservation: Reservation, is_represented: bool = False) -> Decision:
         """Decides by the local bucket.
 
-        `is_represented`: the counter is not asked about the request; the calls of sampled requests report its
-        units as extrapolated units.
+        `is_represented`: sampling has left the request out. While the local bucket admits requests, the calls
+        of similar sampled requests add its units, on average, as extrapolated units.
         """
         request, restrictor = reservation.request, reservation.restrictor
         wait = restrictor.bucket_wait(request.units)
@@ -146,7 +157,9 @@
             probability = 1.0 if is_represented else self._admission_probability(request, restrictor)
             if probability >= 1 or self.random.random() < probability:
                 return Admitted(reservation)
-        # While the local bucket refuses, sampled requests represent no others: there is nothing to take back.
+        # A represented request is not released. While the local bucket refuses, the calls of similar sampled
+        # requests carry no extrapolated units (see `SharedQuota.quota_call`), so `release` would take back
+        # units from the shared bucket that were never added.
         if not is_represented:
             reservation.release()
         return Refused(request, Reason.QUOTA, wait or RATE_UPDATE_INTERVAL_S)
--- a/coralvale/health.py
+++ b/coralvale/health.py
@@ -8,7 +8,9 @@
 from coralvale import interface as api
 
 DELAY_HALF_LIFE_S = 10.0  # in which, without a response, a host's delay ratio loses half its distance from 1
-SILENCE_LIMIT = 4.0  # mean delays without a response: by chance one attempt in fifty takes that long
+# Mean delays without a response: by chance one attempt in fifty takes that long. `Host.is_unhealthy` divides
+# it by the number of outstanding attempts, counting no more attempts than this same number.
+SILENCE_LIMIT = 4.0
 BROKEN_CONNECTION_THRESHOLD = 3  # broken connections with no response in between are a failure
 LOST_THRESHOLD = 16.0  # mean delays after which an attempt sent before the host's last response is lost
 
@@ -26,8 +28,8 @@
         self.outstanding: dict[tuple[str, int], float] = {}
         # Moving average of its delays, each divided by the mean delay of the class.
         self.delay_ratio, self.last_response_at = 1.0, now
-        # Recent failures, at most 4; each success halves them, or sets them to 0 if below 1. The host is
-        # avoided until `backoff_until` because of them.
+        # Recent failures, at most 4. At each success, `Gateway._record_outcome` in coralvale/logic.py halves
+        # them, or sets them to 0 if below 1. The host is avoided until `backoff_until` because of them.
         self.failures, self.backoff_until = 0.0, 0.0
         self.broken_connections = 0  # since its last response
         self.reported_load, self.load_reported_at = 0.0, -math.inf  # requests, from its load reports
@@ -56,9 +58,12 @@
     def is_unhealthy(self, now: float, mean_delay: float) -> bool:
         """Whether the host gives no responses in time, or bad ones, as measured by this gateway.
 
-        The host list may list it as healthy all the same. This covers stalled, crashed, hung, ageing and
-        refusing hosts, which cannot be told apart. The more attempts are outstanding (up to SILENCE_LIMIT),
-        the shorter the silence that counts; a slow host is given more time.
+        The host list may list it as healthy all the same. This covers hosts that stall, crash, hang, slow
+        down over time or refuse requests, which cannot be told apart.
+
+        With n attempts outstanding, the longest healthy silence is SILENCE_LIMIT / n mean delays, and not
+        less than one mean delay. A slow host is given more time, in proportion to its delay ratio. Lost
+        attempts count in n, but `silent_for` leaves them out of the silence.
         """
         is_late = self.silent_for(now, mean_delay) * min(
             len(self.outstanding), SILENCE_LIMIT
@@ -75,9 +80,9 @@
         """Records an established connection that broke; several in a row are a failure of the host.
 
         A single one is not: idle timeouts, resets on the path and single faults break connections to healthy
-        hosts. A host that crashes breaks all its connections at once, or accepts no new ones, which is a
-        failure in itself. Drawback: a host that resets every request but gets few of them fails three before
-        it is avoided.
+        hosts. A host that crashes breaks all its connections at the same time, or accepts no new ones, which
+        is a failure in itself. Drawback: a host that resets every request but gets few of them fails three
+        before it is avoided.
         """
         self.broken_connections += 1
         if self.broken_connections >= BROKEN_CONNECTION_THRESHOLD:
--- a/coralvale/reservation.py
+++ b/coralvale/reservation.py
@@ -1,7 +1,7 @@
 """What one request has taken from its customer's quota and ceiling, so that it can be given back.
 
-A request's units are held in up to four places: the local bucket, the bucket shared on the counter and, for a
-plan with a ceiling, either this gateway's share of the ceiling or the ceiling's pool on the counter.
+A request's units are held in up to three places: the local bucket, the bucket shared on the counter and, for
+a plan with a ceiling, either this gateway's share of the ceiling or the ceiling's pool on the counter.
 """
 
 from __future__ import annotations
@@ -21,8 +21,10 @@
 
     request: api.Request
     restrictor: Restrictor
-    shared_units: float = 0.0  # in the shared bucket, in a pending call to it, or queued for the next call
-    pool_units: float = 0.0  # the same for the pool of the ceiling
+    # In the shared bucket, in a pending call to it, or queued for the next call. If sampling leaves the
+    # request out, the calls of similar requests add these units, on average, as extrapolated units.
+    shared_units: float = 0.0
+    pool_units: float = 0.0  # likewise for the ceiling's pool, whose calls are not sampled
     local_units: float = 0.0  # by which the request has increased the local bucket's fill
     ceiling_tokens_taken: float = 0.0  # from this gateway's share of the ceiling
     max_ceiling_tokens: float = 0.0  # the most that the share could hold when they were taken
